--- a/Makefile
+++ b/Makefile
@@ -4,6 +4,7 @@
 LINT_VERSION := v2.15.0
 GOBIN_DIR := $(shell $(GO) env GOPATH)/bin
 LINT := $(GOBIN_DIR)/golangci-lint
+GOPLS_VERSION := v0.23.0
 
 .PHONY: help build fmt lint tools test up down demo bench overhead reads surge slopes matrix soak
 
@@ -19,9 +20,11 @@
 fmt: ## Fails if a file is not formatted.
 	@out="$$(gofmt -l .)"; if [ -n "$$out" ]; then echo "not formatted:"; echo "$$out"; exit 1; fi
 
-tools: ## Installs the pinned linter if it is missing.
+tools: ## Installs the pinned linter and gopls, which renames identifiers, if they are missing.
 	@$(LINT) version 2>/dev/null | grep -q '$(LINT_VERSION:v%=%)' || \
 		$(GO) install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(LINT_VERSION)
+	@$(GOBIN_DIR)/gopls version 2>/dev/null | grep -q '$(GOPLS_VERSION)' || \
+		$(GO) install golang.org/x/tools/gopls@$(GOPLS_VERSION)
 
 lint: tools ## Runs the linter.
 	$(LINT) run ./...
