--- a/io/hop/client.go
+++ b/io/hop/client.go
@@ -123,7 +123,7 @@
 
 // Idle implements core.LineConn.
 func (c *Conn) Idle() bool {
-	return !c.leaving && c.broken == nil && c.in.Buffered() == 0 && sock.Quiet(c.conn)
+	return !c.leaving && c.broken == nil && c.in.Buffered() == 0 && sock.IsIdle(c.conn)
 }
 
 // Close implements core.LineConn.
--- a/io/hop/hop_test.go
+++ b/io/hop/hop_test.go
@@ -102,7 +102,7 @@
 	srv, c := newPair(t, &echo{delay: 100 * time.Millisecond})
 	assert.NilError(t, c.Send([]core.Command{{Text: "a"}}))
 	time.Sleep(30 * time.Millisecond)
-	srv.Leave()
+	srv.AnnounceShutdown()
 	ans, err := c.Receive(time.Now().Add(5 * time.Second))
 	assert.NilError(t, err)
 	assert.Equal(t, string(ans.Body), "a")
--- a/io/hop/server.go
+++ b/io/hop/server.go
@@ -74,8 +74,8 @@
 	return p
 }
 
-// Leave asks the other entry VMs to stop using their connections. They are served until Run ends.
-func (s *Server) Leave() {
+// AnnounceShutdown asks the other entry VMs to stop using their connections. They are served until Run ends.
+func (s *Server) AnnounceShutdown() {
 	s.leaving.Store(true)
 	s.Each((*peer).goodbye)
 }
--- a/io/sock/server_test.go
+++ b/io/sock/server_test.go
@@ -39,7 +39,7 @@
 		}
 		return poll.Continue("connection not accepted yet")
 	})
-	assert.Assert(t, Quiet(c))
+	assert.Assert(t, IsIdle(c))
 	cancel()
 	assert.NilError(t, <-end)
 	assert.Equal(t, served, 1)
@@ -47,5 +47,5 @@
 	assert.NilError(t, c.SetReadDeadline(time.Now().Add(5*time.Second)))
 	_, err = c.Read(make([]byte, 1))
 	assert.Assert(t, err != nil, "the connection is open")
-	assert.Assert(t, !Quiet(c))
+	assert.Assert(t, !IsIdle(c))
 }
--- a/io/sock/sock.go
+++ b/io/sock/sock.go
@@ -49,8 +49,8 @@
 	return errors.Join(err, optErr)
 }
 
-// Quiet reports, without waiting, whether the connection is open and nothing has arrived on it.
-func Quiet(c net.Conn) bool {
+// IsIdle reports, without waiting, whether the connection is open and nothing has arrived on it.
+func IsIdle(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
