--- a/bench/surge.go
+++ b/bench/surge.go
@@ -25,8 +25,8 @@
 	return []surgePolicy{
 		{"shares", func(cfg queue.Config) queue.Scheduler { return queue.NewShares(cfg) }},
 		{"fcfs", func(cfg queue.Config) queue.Scheduler { return queue.NewFCFS(cfg) }},
-		{"strict", func(cfg queue.Config) queue.Scheduler { return queue.NewStrict(cfg) }},
-		{"equal", func(cfg queue.Config) queue.Scheduler { return queue.NewEqual(cfg) }},
+		{"strict", func(cfg queue.Config) queue.Scheduler { return queue.NewStrictPriority(cfg) }},
+		{"equal", func(cfg queue.Config) queue.Scheduler { return queue.NewEqualShares(cfg) }},
 	}
 }
 
--- a/core/fresh/fresh.go
+++ b/core/fresh/fresh.go
@@ -77,9 +77,9 @@
 	*t.at(t.n - 1) = sample{asked, p}
 }
 
-// Floor returns the position of the oldest sample asked at or after the instant, which replicas are
+// MinPosition returns the position of the oldest sample asked at or after the instant, which replicas are
 // the most likely to have. It returns false if there is none.
-func (t *Tracker) Floor(at core.Instant) (core.Position, bool) {
+func (t *Tracker) MinPosition(at core.Instant) (core.Position, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	lo, hi := 0, t.n
--- a/core/fresh/fresh_test.go
+++ b/core/fresh/fresh_test.go
@@ -15,7 +15,7 @@
 // Guards against a position from a sample that was asked too early.
 func TestFloor(t *testing.T) {
 	var tr Tracker
-	_, ok := tr.Floor(0)
+	_, ok := tr.MinPosition(0)
 	assert.Assert(t, !ok)
 	for i := 1; i <= 5; i++ {
 		tr.Add(at(100*i), core.Position{Term: 1, Offset: core.Offset(i)})
@@ -24,11 +24,11 @@
 		from, want int
 	}{{0, 1}, {100, 1}, {101, 2}, {500, 5}}
 	for _, tt := range tests {
-		p, ok := tr.Floor(at(tt.from))
+		p, ok := tr.MinPosition(at(tt.from))
 		assert.Assert(t, ok)
 		assert.Equal(t, p.Offset, core.Offset(tt.want), "from %d", tt.from)
 	}
-	_, ok = tr.Floor(at(501))
+	_, ok = tr.MinPosition(at(501))
 	assert.Assert(t, !ok, "a sample from before the instant proves nothing")
 }
 
@@ -49,7 +49,7 @@
 			all = append(all, a)
 		}
 		from := at(rapid.IntRange(0, now+50).Draw(t, "from"))
-		p, ok := tr.Floor(from)
+		p, ok := tr.MinPosition(from)
 		if !ok {
 			return
 		}
--- a/core/owner/hedge.go
+++ b/core/owner/hedge.go
@@ -70,7 +70,7 @@
 func (h *hedge) launch(ctx context.Context, first *answer, cancelFirst context.CancelCauseFunc) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.settled || h.winner != nil || h.end != nil || !h.owner.retries.Spend() {
+	if h.settled || h.winner != nil || h.end != nil || !h.owner.retries.Withdraw() {
 		return
 	}
 	h.owner.metrics.retries.Inc(1)
--- a/core/owner/owner.go
+++ b/core/owner/owner.go
@@ -68,7 +68,7 @@
 	o.queue = queue.New(cfg.Scheduler(queue.Config{Slots: slots, MaxOpen: maxOpen, Policies: cfg.Policies}))
 	o.pool = pool.New(pool.Config[core.Conn]{
 		Limit:       connections,
-		Warm:        warm,
+		MinIdle:     warm,
 		Dial:        cfg.Upstream.Dial,
 		Close:       func(c core.Conn) error { return c.Close() },
 		Ping:        func(ctx context.Context, c core.Conn) error { return c.Ping(ctx) },
@@ -82,10 +82,10 @@
 // demand and keeps no connections ready, since the assigned owner needs the upstream's few.
 func (o *Owner) SetAssigned(assigned bool) {
 	if assigned {
-		o.pool.SetWarm(o.warm)
+		o.pool.SetMinIdle(o.warm)
 		return
 	}
-	o.pool.SetWarm(0)
+	o.pool.SetMinIdle(0)
 }
 
 // Name returns "owner/" and the upstream.
@@ -118,7 +118,7 @@
 	}
 	defer o.leave()
 	o.metrics.requests.Inc(1)
-	o.retries.Earn()
+	o.retries.Deposit()
 	ctx, cancel := o.limit(ctx, req)
 	defer cancel()
 	path := pathOf(req)
--- a/core/owner/serve.go
+++ b/core/owner/serve.go
@@ -46,7 +46,7 @@
 	if req.Class != core.ClassRead || a.passed || a.callerErr != nil || ctx.Err() != nil {
 		return false
 	}
-	return o.retries.Spend()
+	return o.retries.Withdraw()
 }
 
 // lostError says that a request was sent, or may have been, and its answer was lost.
@@ -125,7 +125,7 @@
 		Kind:     req.Kind,
 		Rank:     req.Rank,
 		InTx:     req.InTx,
-		Opens:    opensTx(req) && !req.InTx,
+		OpensTx:  opensTx(req) && !req.InTx,
 		Deadline: req.Deadline,
 	})
 	if err == nil {
--- a/core/pool/config.go
+++ b/core/pool/config.go
@@ -20,8 +20,8 @@
 type Config[T any] struct {
 	// Limit is the highest number of connections, including those being dialed.
 	Limit int
-	// Warm is the number of idle connections that the pool keeps ready.
-	Warm int
+	// MinIdle is the number of idle connections that the pool keeps ready.
+	MinIdle int
 	// Dial opens a connection.
 	Dial func(ctx context.Context) (T, error)
 	// Close closes a connection. Its error is ignored, since the connection is gone either way.
@@ -33,20 +33,20 @@
 	AtLimit func(err error) bool
 	// OnDialError is called after each failed dial.
 	OnDialError func(err error)
-	// DialTime limits one dial.
-	DialTime time.Duration
-	// Gradual limits the dials in progress to the number of open connections, at least one. Load
+	// DialTimeout limits one dial.
+	DialTimeout time.Duration
+	// SlowStart limits the dials in progress to the number of open connections, at least one. Load
 	// pattern: all VMs come back at once, and each dial occupies the other side for longer than a
 	// statement does.
-	Gradual bool
-	// SlowDial is the time after which Blocked takes a dial for failing; 0 means never.
-	SlowDial time.Duration
-	// IdleTime is how long a connection above the warm reserve may stay idle.
-	IdleTime time.Duration
-	// Heartbeat is the time without use after which an idle connection is checked.
-	Heartbeat time.Duration
-	// HeartbeatTime limits one check.
-	HeartbeatTime time.Duration
+	SlowStart bool
+	// SlowDialAfter is the time after which Blocked takes a dial for failing; 0 means never.
+	SlowDialAfter time.Duration
+	// IdleTimeout is how long a connection above the warm reserve may stay idle.
+	IdleTimeout time.Duration
+	// HeartbeatInterval is the time without use after which an idle connection is checked.
+	HeartbeatInterval time.Duration
+	// HeartbeatTimeout limits one check.
+	HeartbeatTimeout time.Duration
 	// MinBackoff and MaxBackoff limit the time between dials after failures.
 	MinBackoff, MaxBackoff time.Duration
 }
@@ -54,11 +54,11 @@
 // withDefaults replaces zero values by the defaults.
 func (c Config[T]) withDefaults() Config[T] {
 	c.Limit = max(c.Limit, 1)
-	c.Warm = min(c.Warm, c.Limit)
-	setDefault(&c.DialTime, defaultDialTime)
-	setDefault(&c.IdleTime, defaultIdleTime)
-	setDefault(&c.Heartbeat, defaultHeartbeat)
-	setDefault(&c.HeartbeatTime, defaultHeartbeatTime)
+	c.MinIdle = min(c.MinIdle, c.Limit)
+	setDefault(&c.DialTimeout, defaultDialTime)
+	setDefault(&c.IdleTimeout, defaultIdleTime)
+	setDefault(&c.HeartbeatInterval, defaultHeartbeat)
+	setDefault(&c.HeartbeatTimeout, defaultHeartbeatTime)
 	setDefault(&c.MinBackoff, defaultMinBackoff)
 	setDefault(&c.MaxBackoff, defaultMaxBackoff)
 	return c
--- a/core/pool/handle.go
+++ b/core/pool/handle.go
@@ -49,7 +49,7 @@
 	p := h.pool
 	p.mu.Lock()
 	p.inUse--
-	p.doubt = time.Now().Add(-p.cfg.HeartbeatTime)
+	p.doubt = time.Now().Add(-p.cfg.HeartbeatTimeout)
 	p.mu.Unlock()
 	p.close(h.entry)
 }
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -104,7 +104,7 @@
 	if p.dialErr != nil && (p.dialing > 0 || now.Before(p.retryAt)) {
 		return p.dialErr
 	}
-	if p.cfg.SlowDial > 0 && p.dialing > 0 && now.Sub(p.dialingSince) >= p.cfg.SlowDial {
+	if p.cfg.SlowDialAfter > 0 && p.dialing > 0 && now.Sub(p.dialingSince) >= p.cfg.SlowDialAfter {
 		return ErrSlow
 	}
 	return nil
@@ -252,9 +252,9 @@
 
 // lacking returns how many more connections should be dialed. The caller holds mu.
 func (p *Pool[T]) lacking() int {
-	want := len(p.waiters) + max(0, p.cfg.Warm-len(p.idle)-p.checking) - p.dialing
+	want := len(p.waiters) + max(0, p.cfg.MinIdle-len(p.idle)-p.checking) - p.dialing
 	want = min(want, p.cfg.Limit-p.total)
-	if p.cfg.Gradual {
+	if p.cfg.SlowStart {
 		want = min(want, max(1, p.total-p.dialing)-p.dialing)
 	}
 	return max(0, want)
@@ -282,7 +282,7 @@
 
 // dial opens one connection and reports the result to the pool.
 func (p *Pool[T]) dial(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, p.cfg.DialTime)
+	ctx, cancel := context.WithTimeout(ctx, p.cfg.DialTimeout)
 	defer cancel()
 	v, err := p.cfg.Dial(ctx)
 	if err != nil {
@@ -335,7 +335,7 @@
 	defer p.mu.Unlock()
 	var due []*entry[T]
 	p.idle = slices.DeleteFunc(p.idle, func(e *entry[T]) bool {
-		if now.Sub(e.checked) < p.cfg.Heartbeat && !p.doubted(e) {
+		if now.Sub(e.checked) < p.cfg.HeartbeatInterval && !p.doubted(e) {
 			return false
 		}
 		due = append(due, e)
@@ -347,7 +347,7 @@
 
 // check pings an idle connection and closes it if it doesn't answer in time.
 func (p *Pool[T]) check(ctx context.Context, e *entry[T]) {
-	ctx, cancel := context.WithTimeout(ctx, p.cfg.HeartbeatTime)
+	ctx, cancel := context.WithTimeout(ctx, p.cfg.HeartbeatTimeout)
 	defer cancel()
 	err := p.cfg.Ping(ctx, e.value)
 	p.mu.Lock()
@@ -360,12 +360,12 @@
 	}
 }
 
-// SetWarm changes the number of idle connections that the pool keeps ready and closes the surplus
+// SetMinIdle changes the number of idle connections that the pool keeps ready and closes the surplus
 // at once.
-func (p *Pool[T]) SetWarm(n int) {
+func (p *Pool[T]) SetMinIdle(n int) {
 	p.mu.Lock()
-	p.cfg.Warm = min(n, p.cfg.Limit)
-	surplus := max(0, len(p.idle)-p.cfg.Warm)
+	p.cfg.MinIdle = min(n, p.cfg.Limit)
+	surplus := max(0, len(p.idle)-p.cfg.MinIdle)
 	old := slices.Clone(p.idle[:surplus])
 	p.idle = slices.Delete(p.idle, 0, surplus)
 	p.mu.Unlock()
@@ -379,7 +379,7 @@
 func (p *Pool[T]) expire(now time.Time) {
 	p.mu.Lock()
 	var old []*entry[T]
-	for len(p.idle) > p.cfg.Warm && now.Sub(p.idle[0].used) >= p.cfg.IdleTime {
+	for len(p.idle) > p.cfg.MinIdle && now.Sub(p.idle[0].used) >= p.cfg.IdleTimeout {
 		old = append(old, p.idle[0])
 		p.idle = slices.Delete(p.idle, 0, 1)
 	}
@@ -393,15 +393,15 @@
 func (p *Pool[T]) untilNext(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next := now.Add(p.cfg.Heartbeat)
+	next := now.Add(p.cfg.HeartbeatInterval)
 	if p.dialErr != nil && p.retryAt.After(now) {
 		next = earlier(next, p.retryAt)
 	}
 	for _, e := range p.idle {
-		next = earlier(next, e.checked.Add(p.cfg.Heartbeat))
+		next = earlier(next, e.checked.Add(p.cfg.HeartbeatInterval))
 	}
-	if len(p.idle) > p.cfg.Warm {
-		next = earlier(next, p.idle[0].used.Add(p.cfg.IdleTime))
+	if len(p.idle) > p.cfg.MinIdle {
+		next = earlier(next, p.idle[0].used.Add(p.cfg.IdleTimeout))
 	}
 	return max(next.Sub(now), time.Millisecond)
 }
--- a/core/pool/pool_test.go
+++ b/core/pool/pool_test.go
@@ -80,7 +80,7 @@
 
 // Guards against requests that pay for a connection's set-up although a reserve is configured.
 func TestWarmReserve(t *testing.T) {
-	run(t, Config[*conn]{Limit: 8, Warm: 3}, func(t *testing.T, p *Pool[*conn], _ *server) {
+	run(t, Config[*conn]{Limit: 8, MinIdle: 3}, func(t *testing.T, p *Pool[*conn], _ *server) {
 		time.Sleep(2 * dialTime)
 		for range 20 {
 			start := time.Now()
@@ -95,7 +95,7 @@
 
 // Guards against waiters that hang when nothing can be dialed, and against a storm of dials.
 func TestDialErrorReachesWaiters(t *testing.T) {
-	run(t, Config[*conn]{Limit: 4, Warm: 1}, func(t *testing.T, p *Pool[*conn], s *server) {
+	run(t, Config[*conn]{Limit: 4, MinIdle: 1}, func(t *testing.T, p *Pool[*conn], s *server) {
 		s.dialErr.Store(&errDown)
 		start := time.Now()
 		for range 200 {
@@ -130,7 +130,7 @@
 
 // Guards against a connection that went silent while idle and then costs a request its time.
 func TestHeartbeatClosesSilentConnections(t *testing.T) {
-	run(t, Config[*conn]{Limit: 4, Warm: 2}, func(t *testing.T, p *Pool[*conn], s *server) {
+	run(t, Config[*conn]{Limit: 4, MinIdle: 2}, func(t *testing.T, p *Pool[*conn], s *server) {
 		time.Sleep(time.Second)
 		s.silent.Store(true)
 		time.Sleep(defaultHeartbeat + defaultHeartbeatTime)
@@ -141,7 +141,7 @@
 // Guards against connections above the reserve that are kept forever.
 // Guards against a request that takes a silent connection just after another one was found silent.
 func TestDiscardPutsIdleConnectionsInDoubt(t *testing.T) {
-	run(t, Config[*conn]{Limit: 8, Warm: 3, Heartbeat: time.Minute}, func(t *testing.T, p *Pool[*conn], s *server) {
+	run(t, Config[*conn]{Limit: 8, MinIdle: 3, HeartbeatInterval: time.Minute}, func(t *testing.T, p *Pool[*conn], s *server) {
 		time.Sleep(time.Second)
 		h, ok := p.TryGet()
 		assert.Assert(t, ok)
@@ -163,7 +163,7 @@
 }
 
 func TestIdleExpiry(t *testing.T) {
-	run(t, Config[*conn]{Limit: 6, Warm: 2}, func(t *testing.T, p *Pool[*conn], s *server) {
+	run(t, Config[*conn]{Limit: 6, MinIdle: 2}, func(t *testing.T, p *Pool[*conn], s *server) {
 		var handles []*Handle[*conn]
 		for range 6 {
 			h, err := p.Get(t.Context())
@@ -210,7 +210,7 @@
 				failed:   rapid.Bool().Draw(rt, "failed"),
 			}
 		}), 1, 30).Draw(rt, "uses")
-		run(t, Config[*conn]{Limit: limit, Warm: warm}, func(t *testing.T, p *Pool[*conn], s *server) {
+		run(t, Config[*conn]{Limit: limit, MinIdle: warm}, func(t *testing.T, p *Pool[*conn], s *server) {
 			ended := make(chan struct{})
 			for _, u := range uses {
 				go func() {
@@ -242,7 +242,7 @@
 // Guards against a start at which all waiting requests dial at once: each dial occupies a slot of an
 // upstream for 12 to 27 ms, several times as long as a statement.
 func TestGradualDials(t *testing.T) {
-	run(t, Config[*conn]{Limit: 4, Gradual: true}, func(t *testing.T, p *Pool[*conn], s *server) {
+	run(t, Config[*conn]{Limit: 4, SlowStart: true}, func(t *testing.T, p *Pool[*conn], s *server) {
 		ended := make(chan struct{})
 		for range 4 {
 			go func() {
--- a/core/proxy/links.go
+++ b/core/proxy/links.go
@@ -64,8 +64,8 @@
 		limit = detourConns
 	}
 	return pool.New(pool.Config[*conn]{
-		Limit: limit, Dial: n.dial, Close: closeConn, AtLimit: atLimit, OnDialError: n.dialFailed, Gradual: true,
-		DialTime: dialTime, SlowDial: blockedAfter, IdleTime: connIdle, MinBackoff: minDialBackoff, MaxBackoff: maxDialBackoff,
+		Limit: limit, Dial: n.dial, Close: closeConn, AtLimit: atLimit, OnDialError: n.dialFailed, SlowStart: true,
+		DialTimeout: dialTime, SlowDialAfter: blockedAfter, IdleTimeout: connIdle, MinBackoff: minDialBackoff, MaxBackoff: maxDialBackoff,
 	})
 }
 
@@ -77,8 +77,8 @@
 		idle = hopIdle
 	}
 	return pool.New(pool.Config[*conn]{
-		Limit: hopConns, Dial: n.dialHop, Close: closeConn, Gradual: true, DialTime: lenders * hopDialTime,
-		IdleTime: idle, MinBackoff: minDialBackoff, MaxBackoff: maxDialBackoff,
+		Limit: hopConns, Dial: n.dialHop, Close: closeConn, SlowStart: true, DialTimeout: lenders * hopDialTime,
+		IdleTimeout: idle, MinBackoff: minDialBackoff, MaxBackoff: maxDialBackoff,
 	})
 }
 
--- a/core/proxy/relay.go
+++ b/core/proxy/relay.go
@@ -138,7 +138,7 @@
 // leads: that takes no slot of the upstream.
 func (r *Relay) connect(ctx context.Context, cmd core.Command, deadline time.Time) (*held, *Reply) {
 	if cmd.Kind != "" {
-		return r.n.acquire(ctx, &queue.Item{Kind: cmd.Kind, Rank: cmd.Rank, Opens: true, Deadline: startBy(cmd, deadline)}, r.n.getDirect)
+		return r.n.acquire(ctx, &queue.Item{Kind: cmd.Kind, Rank: cmd.Rank, OpensTx: true, Deadline: startBy(cmd, deadline)}, r.n.getDirect)
 	}
 	handle, err := r.n.getDirect(ctx, deadline)
 	if err != nil {
--- a/core/proxy/single.go
+++ b/core/proxy/single.go
@@ -171,7 +171,7 @@
 	}
 	w.tried = append(w.tried, h.node)
 	reply := Reply{Fault: core.FaultTimeout, Text: why}
-	if !s.p.budget.Spend() {
+	if !s.p.budget.Withdraw() {
 		return reply, done
 	}
 	return reply, again
@@ -202,7 +202,7 @@
 	})
 	w.tried = append(w.tried, h.node)
 	reply := Reply{Fault: core.FaultTimeout, Text: "no answer within the usual time"}
-	if !s.p.budget.Spend() {
+	if !s.p.budget.Withdraw() {
 		return reply, done
 	}
 	return reply, again
@@ -256,13 +256,13 @@
 		return reply, again
 	case core.FaultInDoubt, core.FaultTimeout:
 		// The owner lost the upstream. A read may run again.
-		if !w.write && s.p.budget.Spend() {
+		if !w.write && s.p.budget.Withdraw() {
 			w.tried = append(w.tried, n)
 			return reply, again
 		}
 		return reply, done
 	case core.FaultFailed:
-		if !w.write && s.p.budget.Spend() {
+		if !w.write && s.p.budget.Withdraw() {
 			w.tried = append(w.tried, n)
 			return reply, again
 		}
--- a/core/proxy/work.go
+++ b/core/proxy/work.go
@@ -76,7 +76,7 @@
 	if !w.write {
 		w.seen = s.p.cfg.Now()
 	}
-	s.p.budget.Earn()
+	s.p.budget.Deposit()
 	return w, nil
 }
 
@@ -111,7 +111,7 @@
 	if w.write || strict || w.route.Reads == topo.Strict {
 		return target{node: primary, strict: !w.write}, primary != nil
 	}
-	await, ok := w.group.fresh.Floor(w.seen.Add(-w.route.MaxAge))
+	await, ok := w.group.fresh.MinPosition(w.seen.Add(-w.route.MaxAge))
 	if !ok && !w.indexed && primary != nil {
 		w.indexed = true
 		await, ok = s.readIndex(ctx, primary)
@@ -221,7 +221,7 @@
 
 // acquire takes a slot and then a connection.
 func (s *Session) acquire(ctx context.Context, w *work, n *node, opens bool) (*held, *Reply) {
-	it := &queue.Item{Kind: core.Kind(s.database), Rank: w.route.Rank, Opens: opens, Deadline: w.startBy}
+	it := &queue.Item{Kind: core.Kind(s.database), Rank: w.route.Rank, OpensTx: opens, Deadline: w.startBy}
 	return n.acquire(ctx, it, n.get)
 }
 
@@ -231,7 +231,7 @@
 	if refused := h.admit(ctx, it); refused != nil {
 		return nil, refused
 	}
-	h.opens = it.Opens
+	h.opens = it.OpensTx
 	var err error
 	if h.handle, err = get(ctx, it.Deadline); err == nil {
 		return h, nil
--- a/core/queue/baseline.go
+++ b/core/queue/baseline.go
@@ -28,14 +28,14 @@
 // Done ends an item.
 func (s *FCFS) Done(now time.Time, it *Item, ran bool) { s.finish(now, it, ran) }
 
-// Strict is a baseline: the most urgent rank with waiting work always goes first.
-type Strict struct{ base }
+// StrictPriority is a baseline: the most urgent rank with waiting work always goes first.
+type StrictPriority struct{ base }
 
-// NewStrict returns a scheduler of strict priority.
-func NewStrict(cfg Config) *Strict { return &Strict{newBase(cfg)} }
+// NewStrictPriority returns a scheduler of strict priority.
+func NewStrictPriority(cfg Config) *StrictPriority { return &StrictPriority{newBase(cfg)} }
 
 // Next takes the oldest item of the most urgent rank.
-func (s *Strict) Next(now time.Time) *Item {
+func (s *StrictPriority) Next(now time.Time) *Item {
 	if s.full() {
 		return nil
 	}
@@ -51,21 +51,21 @@
 }
 
 // Done ends an item.
-func (s *Strict) Done(now time.Time, it *Item, ran bool) { s.finish(now, it, ran) }
+func (s *StrictPriority) Done(now time.Time, it *Item, ran bool) { s.finish(now, it, ran) }
 
-// Equal is a baseline: each rank gets a fixed, equal share of the slot time while it has work
+// EqualShares is a baseline: each rank gets a fixed, equal share of the slot time while it has work
 // waiting. What a rank doesn't use is spread over the others.
-type Equal struct {
+type EqualShares struct {
 	base
 	served [core.RankCount]time.Duration
 	busy   [core.RankCount]bool
 }
 
-// NewEqual returns a scheduler of equal shares.
-func NewEqual(cfg Config) *Equal { return &Equal{base: newBase(cfg)} }
+// NewEqualShares returns a scheduler of equal shares.
+func NewEqualShares(cfg Config) *EqualShares { return &EqualShares{base: newBase(cfg)} }
 
 // Next takes the oldest item of the rank that was served least.
-func (s *Equal) Next(now time.Time) *Item {
+func (s *EqualShares) Next(now time.Time) *Item {
 	if s.full() {
 		return nil
 	}
@@ -89,7 +89,7 @@
 
 // join lets a rank that had no work start level with the others, so that it has no claim on the
 // time at which it was idle.
-func (s *Equal) join(waiting [core.RankCount]bool) {
+func (s *EqualShares) join(waiting [core.RankCount]bool) {
 	least := time.Duration(-1)
 	for r := range waiting {
 		if s.busy[r] && (least < 0 || s.served[r] < least) {
@@ -105,6 +105,6 @@
 }
 
 // Done ends an item and charges its measured service time.
-func (s *Equal) Done(now time.Time, it *Item, ran bool) {
+func (s *EqualShares) Done(now time.Time, it *Item, ran bool) {
 	s.served[it.rank] += s.finish(now, it, ran) - it.estimate
 }
--- a/core/queue/item.go
+++ b/core/queue/item.go
@@ -13,8 +13,8 @@
 	Rank core.Rank
 	// InTx tells that the request belongs to an open transaction.
 	InTx bool
-	// Opens tells that the request opens a transaction.
-	Opens bool
+	// OpensTx tells that the request opens a transaction.
+	OpensTx bool
 	// Deadline is when the answer is due; zero means never.
 	Deadline time.Time
 
--- a/core/queue/kind.go
+++ b/core/queue/kind.go
@@ -32,7 +32,7 @@
 	switch {
 	case it.InTx:
 		return &k.inTx
-	case it.Opens:
+	case it.OpensTx:
 		return &k.opens
 	}
 	return &k.plain
--- a/core/queue/opening.go
+++ b/core/queue/opening.go
@@ -33,7 +33,7 @@
 	cost := o.cost(it.estimate)
 	o.credit = min(o.credit+time.Duration(openShare*float64(it.estimate)), openCredit*cost)
 	switch {
-	case it.Opens:
+	case it.OpensTx:
 		o.credit = max(o.credit-cost, 0)
 		o.opened, o.followed = openMemory*o.opened+1, openMemory*o.followed
 	case it.InTx:
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -156,7 +156,7 @@
 
 // undoOpen stops counting the transaction that an item was to open.
 func (q *Queue) undoOpen(it *Item) {
-	if it.Opens {
+	if it.OpensTx {
 		q.EndTx()
 	}
 }
--- a/core/queue/scheduler.go
+++ b/core/queue/scheduler.go
@@ -82,7 +82,7 @@
 func (o *occupancy) start(now time.Time, it *Item) {
 	it.started = now
 	o.running++
-	if it.Opens {
+	if it.OpensTx {
 		o.open++
 	}
 }
--- a/core/queue/shares_test.go
+++ b/core/queue/shares_test.go
@@ -160,9 +160,9 @@
 		asks := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) ask {
 			return ask{
 				it: Item{
-					Kind:  rapid.SampledFrom(kinds).Draw(rt, "kind"),
-					InTx:  rapid.Bool().Draw(rt, "inTx"),
-					Opens: rapid.Bool().Draw(rt, "opens"),
+					Kind:    rapid.SampledFrom(kinds).Draw(rt, "kind"),
+					InTx:    rapid.Bool().Draw(rt, "inTx"),
+					OpensTx: rapid.Bool().Draw(rt, "opens"),
 				},
 				pause:   rapid.IntRange(0, 20).Draw(rt, "pause"),
 				hold:    rapid.IntRange(0, 300).Draw(rt, "hold"),
@@ -173,7 +173,7 @@
 			checkSlots(t, q, slots, maxOpen, len(asks), func(i int) (*Item, [3]time.Duration) {
 				a := asks[i]
 				it := a.it
-				it.Opens = it.Opens && !it.InTx
+				it.OpensTx = it.OpensTx && !it.InTx
 				return &it, [3]time.Duration{
 					time.Duration(a.pause) * time.Millisecond,
 					time.Duration(a.hold) * time.Millisecond,
@@ -202,7 +202,7 @@
 			}
 			mu.Lock()
 			running++
-			if it.Opens {
+			if it.OpensTx {
 				open++
 			}
 			assert.Check(t, running <= slots && open <= maxOpen, "%d running, %d open", running, open)
@@ -210,12 +210,12 @@
 			time.Sleep(d[1])
 			mu.Lock()
 			running--
-			if it.Opens {
+			if it.OpensTx {
 				open--
 			}
 			mu.Unlock()
 			slot.Release(true)
-			if it.Opens {
+			if it.OpensTx {
 				q.EndTx()
 			}
 		})
@@ -265,7 +265,7 @@
 	}
 	offer(singles, func() bool { return serve(q, item(Item{}), service) == nil }, &served)
 	offer(transactions, func() bool {
-		if serve(q, item(Item{Opens: true}), service) != nil {
+		if serve(q, item(Item{OpensTx: true}), service) != nil {
 			return false
 		}
 		defer q.EndTx()
--- a/core/queue/wait.go
+++ b/core/queue/wait.go
@@ -18,7 +18,7 @@
 		return 0
 	}
 	own := time.Duration(ahead) * k.service.value()
-	if it.Opens {
+	if it.OpensTx {
 		own = s.ownBeforeOpening(now, k, it, own)
 	}
 	return s.waitForOwn(now, k, ahead, own)
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -31,15 +31,15 @@
 // NewBudget returns a full budget.
 func NewBudget(cfg Config) *Budget { return &Budget{cfg: cfg, tokens: cfg.Burst} }
 
-// Earn adds the allowance of one request.
-func (b *Budget) Earn() {
+// Deposit adds the allowance of one request.
+func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.cfg.Ratio, b.cfg.Burst)
 }
 
-// Spend takes one repetition and reports whether there was one.
-func (b *Budget) Spend() bool {
+// Withdraw takes one repetition and reports whether there was one.
+func (b *Budget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -118,7 +118,7 @@
 		return core.Result{}, req.Attempt.Refuse(core.StateUnavailable, "group "+string(req.Group)+" is not known", 0)
 	}
 	req.ID = r.nextID.Add(1)
-	r.cfg.Budget.Earn()
+	r.cfg.Budget.Deposit()
 	t := &trial{router: r, group: g, req: req, out: &passedWriter{w: w}}
 	res, err := t.run(ctx)
 	r.counts.add(g, req, res, err)
@@ -203,9 +203,9 @@
 	}
 	switch t.req.Class {
 	case core.ClassRead, core.ClassBegin, core.ClassBeginRead:
-		return t.router.cfg.Budget.Spend()
+		return t.router.cfg.Budget.Withdraw()
 	case core.ClassWrite:
-		return t.req.Idempotent && t.router.cfg.Budget.Spend()
+		return t.req.Idempotent && t.router.cfg.Budget.Withdraw()
 	default:
 		return false
 	}
@@ -217,7 +217,7 @@
 	if t.req.Class != core.ClassRead || len(t.failed) > 0 || info.ID == t.group.knownPrimary() {
 		return false
 	}
-	return t.router.cfg.Budget.Spend()
+	return t.router.cfg.Budget.Withdraw()
 }
 
 // follow takes note of a redirect.
