--- a/core/proxy/cluster.go
+++ b/core/proxy/cluster.go
@@ -14,9 +14,9 @@
 	"snipewall/core/pool"
 )
 
-// probeHopAfter is the time after which a probe that got no answer is also sent through other VMs. It
-// leaves them two thirds of a probe's time, and is above the time of a probe between regions.
-const probeHopAfter = 100 * time.Millisecond
+// probeRelayDelay is the time after which an unanswered probe is also sent through other VMs. It leaves
+// them two thirds of the time of a probe, and is longer than a probe between regions takes.
+const probeRelayDelay = 100 * time.Millisecond
 
 // State implements lead.Cluster.
 func (p *Proxy) State() []lead.Group {
@@ -50,21 +50,22 @@
 		st.Suspect = n.failures > 0 || n.denied
 		n.mu.Unlock()
 	}
-	var able []*node
+	var eligible []*node
 	for _, n := range nodes {
 		if u := n.info.Load(); u.ID != st.Primary && !u.Leaving {
-			able = append(able, n)
+			eligible = append(eligible, n)
 		}
 	}
-	slices.SortStableFunc(able, func(a, b *node) int { return cmp.Compare(p.distance(a.info.Load()), p.distance(b.info.Load())) })
-	for _, n := range able {
+	slices.SortStableFunc(eligible, func(a, b *node) int { return cmp.Compare(p.distance(a.info.Load()), p.distance(b.info.Load())) })
+	for _, n := range eligible {
 		st.Replicas = append(st.Replicas, n.id())
 	}
 	return st
 }
 
-// isWatcher reports whether this VM probes the group's primary all the time. One VM in each failure
-// domain does, so that a domain that is cut off is noticed, and the load doesn't grow with the VMs.
+// isWatcher reports whether this VM probes the group's primary continuously. One VM in each failure
+// domain does, so that a domain that is cut off is noticed and the load doesn't grow with the number of
+// VMs.
 func (p *Proxy) isWatcher(id core.GroupID) bool {
 	return place.IsElected("watch/"+string(id), p.cfg.Self, p.cfg.Members.Alive(), 1)
 }
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// Probe implements lead.Cluster. Opening and ending a transaction takes no slot of the upstream.
+// Probe implements lead.Cluster. It opens and ends a transaction, which takes no slot of the upstream.
 func (p *Proxy) Probe(ctx context.Context, id core.UpstreamID) (lead.Standing, error) {
 	p.mu.Lock()
 	n, ok := p.nodes[id]
@@ -88,17 +89,17 @@
 	}
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		deadline = time.Now().Add(dialTime)
+		deadline = time.Now().Add(dialTimeout)
 	}
 	return n.probe(ctx, deadline)
 }
 
-// probe asks on an idle connection if there is one, otherwise on a new one, and soon through other VMs
-// as well: this VM may be cut off from an upstream that works.
+// probe uses an idle connection if there is one, otherwise a new one, and after probeRelayDelay also
+// other VMs: this VM may be cut off from an upstream that works.
 func (n *node) probe(ctx context.Context, deadline time.Time) (lead.Standing, error) {
-	first, _ := n.ways()
+	first, _ := n.poolOrder()
 	if handle, ok := n.tryGet(first); ok {
-		if at, err := n.askOn(handle, time.Now().Add(time.Until(deadline)/3)); err == nil {
+		if at, err := n.probeOn(handle, time.Now().Add(time.Until(deadline)/3)); err == nil {
 			return at, nil
 		}
 	}
@@ -107,85 +108,85 @@
 		err error
 	}
 	results := make(chan result, 2)
-	ask := func(how func(context.Context, time.Time) (lead.Standing, error)) {
+	start := func(how func(context.Context, time.Time) (lead.Standing, error)) {
 		n.p.spawn(func() {
 			at, err := how(ctx, deadline)
 			results <- result{at, err}
 		})
 	}
-	ask(n.probeDirectly)
-	timer := time.NewTimer(probeHopAfter)
+	start(n.probeDirectly)
+	timer := time.NewTimer(probeRelayDelay)
 	defer timer.Stop()
-	askOthers := sync.OnceFunc(func() { ask(n.probeThroughOthers) })
+	startPeerProbe := sync.OnceFunc(func() { start(n.probeThroughPeers) })
 	var failure error
 	for answers := 0; answers < cap(results); {
 		select {
 		case <-timer.C:
-			askOthers()
+			startPeerProbe()
 		case r := <-results:
 			if r.err == nil {
 				return r.at, nil
 			}
 			answers++
-			askOthers()
-			// An upstream that refused the question was alive to do so. Others that can't ask say
-			// nothing of it.
-			if failure == nil || errors.Is(r.err, lead.ErrNotAsked) || isUnasked(failure) {
+			startPeerProbe()
+			// An upstream that rejected the probe is alive. A probe that couldn't be sent tells nothing
+			// about it.
+			if failure == nil || errors.Is(r.err, lead.ErrNotAsked) || isNotProbed(failure) {
 				failure = r.err
 			}
 		}
 	}
-	if isUnasked(failure) {
+	if isNotProbed(failure) {
 		failure = lead.ErrNotAsked
 	}
 	return lead.Standing{}, failure
 }
 
-// isUnasked reports whether a probe failed before it was sent, on this VM or on another one.
-func isUnasked(err error) bool {
-	return atLimit(err) || errors.Is(err, errNoOwner) || errors.Is(err, pool.ErrClosed)
+// isNotProbed reports whether a probe failed before it was sent, on this VM or on another one.
+func isNotProbed(err error) bool {
+	return isAtLimit(err) || errors.Is(err, errNoOwner) || errors.Is(err, pool.ErrClosed)
 }
 
-// probeThroughOthers asks on a connection through another VM.
-func (n *node) probeThroughOthers(ctx context.Context, deadline time.Time) (lead.Standing, error) {
-	return n.askFrom(ctx, n.hops, deadline)
+func (n *node) probeThroughPeers(ctx context.Context, deadline time.Time) (lead.Standing, error) {
+	return n.probeFromPool(ctx, n.relayed, deadline)
 }
 
-// ask waits for a pooled connection and asks on it.
-func (n *node) ask(ctx context.Context, deadline time.Time) (lead.Standing, error) {
+// probePooled probes on a pooled connection, waiting for one until the deadline.
+func (n *node) probePooled(ctx context.Context, deadline time.Time) (lead.Standing, error) {
 	handle, err := n.get(ctx, deadline)
 	if err != nil {
 		return lead.Standing{}, err
 	}
-	return n.askOn(handle, deadline)
+	return n.probeOn(handle, deadline)
 }
 
-func (n *node) askFrom(ctx context.Context, p *pool.Pool[*conn], deadline time.Time) (lead.Standing, error) {
+func (n *node) probeFromPool(ctx context.Context, p *pool.Pool[*conn], deadline time.Time) (lead.Standing, error) {
 	handle, err := n.getFrom(ctx, p, deadline)
 	if err != nil {
 		return lead.Standing{}, err
 	}
-	return n.askOn(handle, deadline)
+	return n.probeOn(handle, deadline)
 }
 
-func (n *node) askOn(handle *pool.Handle[*conn], deadline time.Time) (lead.Standing, error) {
-	h := &held{node: n, handle: handle}
-	at, err := n.standing(h.handle.Value, deadline)
+func (n *node) probeOn(handle *pool.Handle[*conn], deadline time.Time) (lead.Standing, error) {
+	h := &heldConn{node: n, handle: handle}
+	at, err := n.queryLeadership(h.handle.Value, deadline)
 	if err != nil {
 		n.noteFailure(h.handle.Value)
-		h.drop()
+		h.discard()
 		return at, err
 	}
 	h.free(false)
 	return at, nil
 }
 
-// probeDirectly asks on a new connection, since pooled ones may be silent. If the upstream accepts none,
-// it asks on a pooled one: busy replicas have to be heard before a primary is replaced.
+// probeDirectly probes on a new connection, since the upstream may no longer answer on pooled ones. At
+// the upstream's connection limit it uses a pooled one: busy replicas must be reachable before a
+// primary is replaced.
 func (n *node) probeDirectly(ctx context.Context, deadline time.Time) (lead.Standing, error) {
 	lc, err := n.p.cfg.Dialer.Dial(ctx, n.info.Load().UpstreamInfo)
-	if atLimit(err) {
-		at, err := n.askFrom(ctx, n.direct, deadline)
+	if isAtLimit(err) {
+		at, err := n.probeFromPool(ctx, n.direct, deadline)
 		if err != nil {
 			return lead.Standing{}, lead.ErrNotAsked
 		}
@@ -195,11 +196,12 @@
 		return lead.Standing{}, err
 	}
 	defer func() { _ = lc.Close() }()
-	return n.standing(&conn{LineConn: lc}, deadline)
+	return n.queryLeadership(&conn{LineConn: lc}, deadline)
 }
 
-// standing asks on the connection whether the upstream leads.
-func (n *node) standing(c *conn, deadline time.Time) (lead.Standing, error) {
+// queryLeadership opens and rolls back a transaction on the connection, which proves whether the
+// upstream leads.
+func (n *node) queryLeadership(c *conn, deadline time.Time) (lead.Standing, error) {
 	asked := n.p.cfg.Now()
 	if err := c.Send([]core.Command{{Op: core.OpBegin}, {Op: core.OpRollback}}); err != nil {
 		return lead.Standing{}, err
@@ -214,7 +216,7 @@
 	n.notePosition(ans.Position)
 	switch ans.Fault {
 	case core.FaultNone:
-		n.lead(asked, ans.Position)
+		n.noteLeads(asked, ans.Position)
 		return lead.Standing{Leads: true, Log: ans.Position}, nil
 	case core.FaultReadOnly:
 		n.noteDenied()
--- a/core/proxy/doc.go
+++ b/core/proxy/doc.go
@@ -1,15 +1,15 @@
-// Package proxy serves single-line statements of callers on the upstreams of database groups. It
-// pools connections by transaction, proves that reads are as fresh as their route asks for, and
-// never claims that a statement didn't run unless that is certain.
+// Package proxy executes single-line statements of callers on the upstreams of database groups. It
+// pools connections per transaction, proves that reads are as fresh as their route requires, and
+// reports a statement as not run only if that is certain.
 //
 // A Session is one caller's connection. It answers BEGIN, ROLLBACK, SET, PREPARE and DEALLOCATE
-// itself: a transaction takes an upstream connection only with its first statement, and values and
-// prepared statements are replayed on the connection that runs the next one.
+// itself: a transaction takes an upstream connection only with its first statement, and session
+// values and prepared statements are replayed on the connection that runs the next statement.
 //
-// Strict reads run inside a transaction that the primary opened for them, which it only does while
-// it leads. Other reads await a position that a leading primary held, see package fresh. Each upstream
-// has its own admission queue (package queue) and connection pool (package pool); choose.go places
-// reads by the estimated time to their answer.
+// A strict read runs inside a transaction on the primary, which accepts BEGIN only while it leads.
+// Other reads await a position that the primary had while it provably led, see package fresh. Each
+// upstream has its own admission queue (package queue) and connection pools (package pool); reads go
+// to the upstream with the lowest estimated time to the answer.
 //
 // # Usage
 //
--- a/core/proxy/fake_test.go
+++ b/core/proxy/fake_test.go
@@ -17,34 +17,34 @@
 	"snipewall/core/topo"
 )
 
-// server is a fake upstream. It records what runs on it.
+// server is a fake upstream that records the statements it ran.
 type server struct {
 	id core.UpstreamID
 
 	mu    sync.Mutex
 	leads bool
-	// unproved makes the upstream open plain transactions even if it doesn't lead.
-	unproved bool
-	log      core.Position
-	// service is how long a statement takes.
-	service time.Duration
-	// silent statements get no answer; broken ones break the connection after they ran.
+	// skipLeaderCheck makes the upstream accept a plain BEGIN although it doesn't lead.
+	skipLeaderCheck bool
+	log             core.Position
+	// serviceTime is the run time of a statement.
+	serviceTime time.Duration
+	// A silent server doesn't answer; a broken one closes the connection after it ran the statement.
 	silent, broken bool
-	// busy is the number of statements that are refused as busy.
+	// busy is the number of statements still to refuse as busy.
 	busy  int
 	conns int
-	// lagged is the number of statements that awaited a position which the log lacks.
+	// lagged is the number of statements that awaited a position beyond the end of the log.
 	lagged int
 	ran    []run
 }
 
-// run is one statement of a caller that ran.
+// run is one caller statement that ran.
 type run struct {
 	Conn   int
 	Text   string
 	Values string
 	InTx   bool
-	// Log is the end of the upstream's log when the statement ran.
+	// Log is the end of the server's log when the statement ran.
 	Log core.Position
 }
 
@@ -54,14 +54,13 @@
 	return append([]run(nil), s.ran...)
 }
 
-func (s *server) set(change func(s *server)) {
+func (s *server) update(change func(s *server)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s)
 }
 
-// link is a connection to a server.
-type link struct {
+type fakeConn struct {
 	s        *server
 	n        int
 	status   core.TxStatus
@@ -72,26 +71,26 @@
 	guards   bool
 }
 
-func (l *link) Hello() core.Position {
+func (l *fakeConn) Hello() core.Position {
 	l.s.mu.Lock()
 	defer l.s.mu.Unlock()
 	return l.s.log
 }
 
-func (l *link) Idle() bool   { return !l.closed && len(l.answers) == 0 }
-func (l *link) Guards() bool { return l.guards }
-func (l *link) Close() error { l.closed = true; return nil }
+func (l *fakeConn) Idle() bool   { return !l.closed && len(l.answers) == 0 }
+func (l *fakeConn) Guards() bool { return l.guards }
+func (l *fakeConn) Close() error { l.closed = true; return nil }
 
-func (l *link) Send(cmds []core.Command) error {
+func (l *fakeConn) Send(cmds []core.Command) error {
 	for _, c := range cmds {
 		l.answers = append(l.answers, l.run(c))
 	}
 	return nil
 }
 
-func (l *link) Receive(deadline time.Time) (core.Answer, error) {
+func (l *fakeConn) Receive(deadline time.Time) (core.Answer, error) {
 	l.s.mu.Lock()
-	silent, broken, service := l.s.silent, l.s.broken, l.s.service
+	silent, broken, service := l.s.silent, l.s.broken, l.s.serviceTime
 	l.s.mu.Unlock()
 	if silent {
 		time.Sleep(time.Until(deadline))
@@ -112,7 +111,7 @@
 	return ans, nil
 }
 
-func (l *link) run(c core.Command) core.Answer {
+func (l *fakeConn) run(c core.Command) core.Answer {
 	l.s.mu.Lock()
 	defer l.s.mu.Unlock()
 	fault := l.decide(c)
@@ -127,10 +126,10 @@
 	return ans
 }
 
-func (l *link) decide(c core.Command) core.Fault {
+func (l *fakeConn) decide(c core.Command) core.Fault {
 	switch c.Op {
 	case core.OpBegin, core.OpBeginRead:
-		if c.Op == core.OpBegin && !l.s.leads && !l.s.unproved {
+		if c.Op == core.OpBegin && !l.s.leads && !l.s.skipLeaderCheck {
 			return core.FaultReadOnly
 		}
 		if l.s.log.Less(c.Await) {
@@ -151,7 +150,7 @@
 	return core.FaultNone
 }
 
-func (l *link) statement(c core.Command) core.Fault {
+func (l *fakeConn) statement(c core.Command) core.Fault {
 	if l.s.busy > 0 {
 		l.s.busy--
 		return core.FaultBusy
@@ -183,23 +182,23 @@
 	return core.FaultNone
 }
 
-// rig is a proxy in front of one group with a primary in its own failure domain and replicas in its
-// own and in another region.
-type rig struct {
+// harness runs a proxy in front of one group, with a primary in its own failure domain and replicas in
+// its own and in another region.
+type harness struct {
 	t       *testing.T
 	servers map[core.UpstreamID]*server
 	dir     *topo.Directory
 	proxy   *Proxy
-	// now is the clock that counts suspension.
+	// suspended is how far the proxy's clock is ahead because of suspension.
 	suspended atomic.Int64
 	start     time.Time
 	alive     []core.VM
 	guards    bool
 	dials     atomic.Int32
-	// full makes the upstreams refuse new connections; those that are cut don't answer this VM.
+	// full makes the upstreams refuse new connections. Dials of those in cut don't answer.
 	full atomic.Bool
 	cut  map[core.UpstreamID]bool
-	// owner answers for an upstream's owner; nil means that none answers.
+	// owner connects to an upstream's owner; nil means that no owner answers.
 	owner func(id core.UpstreamID) (core.LineConn, error)
 }
 
@@ -209,14 +208,13 @@
 	farID     core.UpstreamID = "c-far"
 )
 
-// route returns the route of a kind.
 func testRoute(database string, reads topo.Consistency, maxAge time.Duration) topo.Route {
 	return topo.Route{Database: database, Group: "g", Reads: reads, MaxAge: maxAge, StatementTimeout: 800 * time.Millisecond}
 }
 
-func newRig(t *testing.T, others ...core.VM) *rig {
+func newHarness(t *testing.T, others ...core.VM) *harness {
 	t.Helper()
-	r := &rig{t: t, servers: map[core.UpstreamID]*server{}, dir: topo.NewDirectory(), start: time.Now()}
+	r := &harness{t: t, servers: map[core.UpstreamID]*server{}, dir: topo.NewDirectory(), start: time.Now()}
 	r.dir.Apply(topo.Config{
 		Version: 1, TxIdle: time.Second,
 		Routes: map[string]topo.Route{
@@ -227,7 +225,7 @@
 		Groups: map[core.GroupID]topo.Group{"g": {ID: "g", Connections: 20}},
 	})
 	for _, id := range []core.UpstreamID{primaryID, nearID, farID} {
-		s := &server{id: id, log: core.Position{Term: 1, Offset: 10}, service: 5 * time.Millisecond, leads: id == primaryID}
+		s := &server{id: id, log: core.Position{Term: 1, Offset: 10}, serviceTime: 5 * time.Millisecond, leads: id == primaryID}
 		r.servers[id] = s
 		u := topo.Upstream{Role: core.RoleReplica, Born: 1}
 		u.ID, u.Group, u.Address, u.Slots = id, "g", string(id), 3
@@ -261,11 +259,11 @@
 	return r
 }
 
-func (r *rig) Alive() []core.VM         { return r.alive }
-func (r *rig) Changed() <-chan struct{} { return nil }
+func (r *harness) Alive() []core.VM         { return r.alive }
+func (r *harness) Changed() <-chan struct{} { return nil }
 
-// dialOwner reaches an upstream's owner. One that doesn't answer takes all of the dial's time.
-func (r *rig) dialOwner(ctx context.Context, _ core.VM, id core.UpstreamID) (core.LineConn, error) {
+// dialOwner connects to an upstream's owner. Without an owner it blocks until the dial times out.
+func (r *harness) dialOwner(ctx context.Context, _ core.VM, id core.UpstreamID) (core.LineConn, error) {
 	if r.owner == nil {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -273,13 +271,13 @@
 	return r.owner(id)
 }
 
-// relayLink connects to the upstream as its owner would.
-func (r *rig) relayLink(id core.UpstreamID) (core.LineConn, error) {
-	return &link{s: r.servers[id], status: core.TxIdle, values: map[string]string{}, prepared: map[string]string{}, guards: true}, nil
+// relayConn connects to the upstream as its owner would.
+func (r *harness) relayConn(id core.UpstreamID) (core.LineConn, error) {
+	return &fakeConn{s: r.servers[id], status: core.TxIdle, values: map[string]string{}, prepared: map[string]string{}, guards: true}, nil
 }
 
 // Dial implements core.LineDialer.
-func (r *rig) Dial(ctx context.Context, u core.UpstreamInfo) (core.LineConn, error) {
+func (r *harness) Dial(ctx context.Context, u core.UpstreamInfo) (core.LineConn, error) {
 	if r.cut[u.ID] {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -292,24 +290,24 @@
 	}
 	s.conns++
 	r.dials.Add(1)
-	return &link{s: s, n: s.conns, status: core.TxIdle, values: map[string]string{}, prepared: map[string]string{}, guards: r.guards}, nil
+	return &fakeConn{s: s, n: s.conns, status: core.TxIdle, values: map[string]string{}, prepared: map[string]string{}, guards: r.guards}, nil
 }
 
-// do runs a statement given as the caller wrote it.
-func (r *rig) do(s *Session, verb Verb, text string) Reply {
+// do executes a statement, given as the caller sent it.
+func (r *harness) do(s *Session, verb Verb, text string) Reply {
 	r.t.Helper()
 	return s.Execute(r.t.Context(), &Statement{ID: "q", Verb: verb, Text: text})
 }
 
-func (r *rig) must(s *Session, verb Verb, text string) Reply {
+func (r *harness) must(s *Session, verb Verb, text string) Reply {
 	r.t.Helper()
 	reply := r.do(s, verb, text)
 	assert.Equal(r.t, reply.Fault, core.FaultNone, reply.Text)
 	return reply
 }
 
-// texts returns the texts that ran on the server.
-func (r *rig) texts(id core.UpstreamID) []string {
+// texts returns the statements that ran on the server.
+func (r *harness) texts(id core.UpstreamID) []string {
 	var out []string
 	for _, x := range r.servers[id].runs() {
 		out = append(out, x.Text)
--- a/core/proxy/group.go
+++ b/core/proxy/group.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// leavingTime is how long a primary that is leaving still gets new work while no other has taken
-	// over. Upstreams that leave must not get work for more than 7 s after they said so.
-	leavingTime = 5 * time.Second
-	// sampleInterval is the least time between two samples of the primary's position: taking one
+	// leavingGrace is how long a primary that is leaving still gets new work while no other has taken
+	// over. An upstream must get no work more than 7 s after it announced that it leaves.
+	leavingGrace = 5 * time.Second
+	// sampleInterval is the minimum time between two samples of the primary's position, since each one
 	// costs a system call.
 	sampleInterval = 30 * time.Millisecond
 )
@@ -25,11 +25,11 @@
 	nodes atomic.Pointer[[]*node]
 
 	mu sync.Mutex
-	// provedAt is when a primary last proved its leadership, and provedBy that primary.
+	// provedAt is when a primary last proved its leadership, and provedBy is that primary.
 	provedAt time.Time
 	provedBy core.UpstreamID
-	// lostAt is when the primary was first missed; zero while there is one.
-	lostAt time.Time
+	// missingSince is when statements first found no primary; zero while there is one.
+	missingSince time.Time
 }
 
 func newGroup(id core.GroupID) *group {
@@ -38,18 +38,19 @@
 	return g
 }
 
-// primary returns the node that is believed to lead, or nil: of the nodes that claim to be primary or
-// proved it, and have not denied it since, the one with the newest evidence. The position doesn't tell:
-// a new primary's term shows only with its first commit, and the old one's log may be longer.
+// primary returns the node that is believed to be the primary, or nil: of the nodes that claim or have
+// proved leadership and have not denied it since, the one with the newest evidence. Positions can't
+// decide: the term of a new primary shows only with its first commit, and the log of the old one may be
+// longer.
 func (g *group) primary(now time.Time) *node {
 	var best *node
 	var bestAt time.Time
 	var bestLog core.Position
 	for _, n := range *g.nodes.Load() {
 		n.mu.Lock()
-		claims, at, log, leavingAt := n.claims(), n.evidenceAt, n.position, n.leavingAt
+		canLead, at, log, leavingAt := n.canLead(), n.evidenceAt, n.position, n.leavingAt
 		n.mu.Unlock()
-		if !claims || (!leavingAt.IsZero() && now.Sub(leavingAt) > leavingTime) {
+		if !canLead || (!leavingAt.IsZero() && now.Sub(leavingAt) > leavingGrace) {
 			continue
 		}
 		if best == nil || at.After(bestAt) || (at.Equal(bestAt) && bestLog.Less(log)) {
@@ -59,27 +60,27 @@
 	return best
 }
 
-// prove records that the upstream proved its leadership after asked and held p then.
-func (g *group) prove(id core.UpstreamID, asked core.Instant, p core.Position) {
+// recordProof records that the upstream proved its leadership after the instant asked and held p then.
+func (g *group) recordProof(id core.UpstreamID, asked core.Instant, p core.Position) {
 	g.fresh.Add(asked, p)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.provedAt, g.provedBy = time.Now(), id
-	g.lostAt = time.Time{}
+	g.missingSince = time.Time{}
 }
 
-// wantsSample reports whether the next proof of leadership should be sampled.
-func (g *group) wantsSample(now core.Instant) bool {
+// isSampleDue reports whether the next proof of leadership should be sampled.
+func (g *group) isSampleDue(now core.Instant) bool {
 	at, ok := g.fresh.Newest()
 	return !ok || now.Sub(at) >= sampleInterval
 }
 
-// outage returns for how long statements have found no primary, starting now if they hadn't.
-func (g *group) outage(now time.Time) time.Duration {
+// noteOutage records that a statement found no primary and returns how long this has been so.
+func (g *group) noteOutage(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.lostAt.IsZero() {
-		g.lostAt = now
+	if g.missingSince.IsZero() {
+		g.missingSince = now
 	}
-	return now.Sub(g.lostAt)
+	return now.Sub(g.missingSince)
 }
--- a/core/proxy/history_test.go
+++ b/core/proxy/history_test.go
@@ -16,89 +16,91 @@
 	"snipewall/core"
 )
 
-// historySeeds is the number of random histories: few in CI, more by hand.
+// historySeeds is the number of random histories. CI runs few.
 var historySeeds = flag.Uint64("history.seeds", 20, "number of random histories")
 
 const (
-	// historyTime is the length of a history.
-	historyTime = 8 * time.Second
-	// longestFault is the longest time for which a fault lasts.
-	longestFault = 3 * time.Second
+	historyLength = 8 * time.Second
+	maxFaultTime  = 3 * time.Second
 )
 
-// missing is a mechanism that a history runs without, to show that the checks notice.
-type missing uint8
+// mechanism names a safety mechanism that a history disables, to show that the checks detect its
+// absence.
+type mechanism uint8
 
 const (
-	nothing missing = iota
-	// suspensionClock makes the proxy's clock stand still while the VM is suspended.
+	noMechanism mechanism = iota
+	// suspensionClock disabled: the proxy's clock stops while the VM is suspended.
 	suspensionClock
-	// leadershipProof makes upstreams open plain transactions that don't lead.
+	// leadershipProof disabled: upstreams that don't lead accept a plain BEGIN.
 	leadershipProof
 )
 
-// commit is an acknowledged write, of this VM's callers or of others.
+// commit is an acknowledged write of a caller of this or another VM.
 type commit struct {
 	at core.Position
-	// acked is when its caller learned of it, on the clock that counts suspension.
-	acked   time.Duration
-	session int
-	undone  bool
+	// acked is when its caller got the answer, on the clock that counts suspension.
+	acked      time.Duration
+	session    int
+	rolledBack bool
 }
 
-// change is a change of leader: commits of lower terms that aren't kept are undone.
-type change struct {
-	term core.Term
-	kept core.Position
+// leaderChange is one change of the leader. It rolls back commits of lower terms beyond keptUpTo.
+type leaderChange struct {
+	term     core.Term
+	keptUpTo core.Position
 }
 
-// undoes reports whether the change rolled the commit back, which its caller may learn of only later.
-func (c change) undoes(at core.Position) bool { return at.Term < c.term && c.kept.Less(at) }
+// rollsBack reports whether the change rolled the commit back, even if its caller gets the answer only
+// later.
+func (c leaderChange) rollsBack(at core.Position) bool {
+	return at.Term < c.term && c.keptUpTo.Less(at)
+}
 
-// history runs random statements and faults against a rig, and checks what the callers were told
-// against what the upstreams ran.
+// history runs random statements and faults against a harness, and checks the replies to callers
+// against the statements that the upstreams ran.
 type history struct {
-	*rig
+	*harness
 	rand *rand.Rand
 
 	mu      sync.Mutex
 	commits []commit
 	leader  core.UpstreamID
-	// changes are the changes of leader. Each has a term of its own, as the platform gives it.
-	changes []change
-	paused  map[core.UpstreamID]bool
-	n       int
-	served  int
-	faults  []string
+	// leaderChanges holds all changes. Each has its own term, as the platform assigns it.
+	leaderChanges []leaderChange
+	paused        map[core.UpstreamID]bool
+	n             int
+	checkedReads  int
+	violations    []string
 }
 
 func (h *history) clock() time.Duration {
 	return time.Since(h.start) + time.Duration(h.suspended.Load())
 }
 
-func (h *history) report(format string, args ...any) {
+func (h *history) reportViolation(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.faults = append(h.faults, fmt.Sprintf(format, args...))
+	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
-// ack records that a caller learned of a commit.
+// ack records that a caller got the answer to a commit.
 func (h *history) ack(session int, at core.Position) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	undone := slices.ContainsFunc(h.changes, func(c change) bool { return c.undoes(at) })
-	h.commits = append(h.commits, commit{at: at, acked: h.clock(), session: session, undone: undone})
+	rolledBack := slices.ContainsFunc(h.leaderChanges, func(c leaderChange) bool { return c.rollsBack(at) })
+	h.commits = append(h.commits, commit{at: at, acked: h.clock(), session: session, rolledBack: rolledBack})
 }
 
-// floor returns the position that a read which arrived at the time must not lack.
-func (h *history) floor(arrived time.Duration, session int, database string) core.Position {
+// requiredPosition returns the position that a read which arrived at the given time must have at least.
+func (h *history) requiredPosition(arrived time.Duration, session int, database string) core.Position {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	age := map[string]time.Duration{"strict": 0, "bounded": 1500 * time.Millisecond, "own": 2500 * time.Millisecond}[database]
 	var p core.Position
 	for _, c := range h.commits {
 		own := database == "own" && c.session == session
-		if c.undone || c.acked >= arrived || (!own && c.acked >= arrived-age) {
+		if c.rolledBack || c.acked >= arrived || (!own && c.acked >= arrived-age) {
 			continue
 		}
 		if p.Less(c.at) {
@@ -108,7 +110,7 @@
 	return p
 }
 
-// ranWith returns the log positions with which the text ran, by upstream.
+// ranWith returns the log positions at which the statement ran, by upstream.
 func (h *history) ranWith(text string) map[core.UpstreamID][]core.Position {
 	out := map[core.UpstreamID][]core.Position{}
 	for id, s := range h.servers {
@@ -121,12 +123,12 @@
 	return out
 }
 
-// caller runs statements of one session until the history ends.
-func (h *history) caller(session int, database string, seed uint64) {
+// runCaller runs statements of one session until the history ends.
+func (h *history) runCaller(session int, database string, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, uint64(session)))
 	s := h.proxy.Open(database)
 	defer s.Close()
-	for h.clock() < historyTime {
+	for h.clock() < historyLength {
 		h.mu.Lock()
 		h.n++
 		n := h.n
@@ -148,11 +150,11 @@
 	}
 	switch {
 	case runs > 1:
-		h.report("%s ran %d times", text, runs)
+		h.reportViolation("%s ran %d times", text, runs)
 	case reply.Fault == core.FaultNone && runs == 0:
-		h.report("%s was acknowledged and didn't run", text)
+		h.reportViolation("%s was acknowledged but didn't run", text)
 	case reply.Fault.NotRun() && runs > 0:
-		h.report("%s was refused as %s and ran", text, reply.Fault)
+		h.reportViolation("%s was refused as %s but ran", text, reply.Fault)
 	}
 	if reply.Fault == core.FaultNone {
 		h.ack(session, reply.Position)
@@ -166,21 +168,20 @@
 		return
 	}
 	by := core.UpstreamID(strings.TrimSuffix(strings.TrimPrefix(string(reply.Body), "COMPLETE "), "\r\n"))
-	floor := h.floor(arrived, session, database)
+	required := h.requiredPosition(arrived, session, database)
 	at := h.ranWith(text)[by]
 	if len(at) == 0 {
-		h.report("%s was answered by %s and didn't run there", text, by)
+		h.reportViolation("%s was answered by %s but didn't run there", text, by)
 		return
 	}
-	if last := at[len(at)-1]; last.Less(floor) {
-		h.report("%s on %s ran at %v on %s, the floor is %v", text, database, last, by, floor)
+	if last := at[len(at)-1]; last.Less(required) {
+		h.reportViolation("%s on %s ran at %v on %s, want at least %v", text, database, last, by, required)
 	}
 	h.mu.Lock()
-	h.served++
+	h.checkedReads++
 	h.mu.Unlock()
 }
 
-// replicate copies the leader's log to the replicas that aren't paused.
 func (h *history) replicate() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -190,25 +191,25 @@
 	lead.mu.Unlock()
 	for id, s := range h.servers {
 		if id != h.leader && !h.paused[id] {
-			s.set(func(s *server) { s.log = log })
+			s.update(func(s *server) { s.log = log })
 		}
 	}
 }
 
-// commitElsewhere lets another VM's caller commit.
+// commitElsewhere commits a write of another VM's caller.
 func (h *history) commitElsewhere() {
 	h.mu.Lock()
 	s := h.servers[h.leader]
 	h.mu.Unlock()
 	var at core.Position
-	s.set(func(s *server) {
+	s.update(func(s *server) {
 		s.log.Offset++
 		at = s.log
 	})
 	h.ack(-1, at)
 }
 
-// promote makes another upstream the leader with the log that it has.
+// promote makes a random upstream the leader, with the log that it has.
 func (h *history) promote() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -216,31 +217,31 @@
 	if next == h.leader {
 		return
 	}
-	c := change{term: core.Term(len(h.changes) + 2)}
-	h.servers[next].set(func(s *server) {
-		c.kept = s.log
+	c := leaderChange{term: core.Term(len(h.leaderChanges) + 2)}
+	h.servers[next].update(func(s *server) {
+		c.keptUpTo = s.log
 		s.leads = true
 		s.log.Term = c.term
 	})
-	h.changes = append(h.changes, c)
+	h.leaderChanges = append(h.leaderChanges, c)
 	for id, s := range h.servers {
 		if id == next {
 			continue
 		}
-		s.set(func(s *server) {
+		s.update(func(s *server) {
 			s.leads = false
-			if c.kept.Less(s.log) {
-				s.log = c.kept
+			if c.keptUpTo.Less(s.log) {
+				s.log = c.keptUpTo
 			}
 		})
 	}
 	for i := range h.commits {
-		if c.undoes(h.commits[i].at) {
-			h.commits[i].undone = true
+		if c.rollsBack(h.commits[i].at) {
+			h.commits[i].rolledBack = true
 		}
 	}
 	h.leader = next
-	// The store's news of it arrive later.
+	// The change reaches the directory later.
 	time.AfterFunc(time.Duration(h.rand.IntN(600))*time.Millisecond, func() {
 		for id, u := range h.dir.Snapshot().Upstreams {
 			u.Role = core.RoleReplica
@@ -252,7 +253,8 @@
 	})
 }
 
-// suspend stops the VM for a time, in which others commit and nothing is replicated.
+// suspend advances the clock of the VM as a suspension does, while other VMs commit and nothing is
+// replicated.
 func (h *history) suspend(d time.Duration) {
 	const steps = 10
 	for range steps {
@@ -261,11 +263,10 @@
 	}
 }
 
-// fault injects one random fault.
-func (h *history) fault() {
+func (h *history) injectFault() {
 	id := []core.UpstreamID{primaryID, nearID, farID}[h.rand.IntN(3)]
 	s := h.servers[id]
-	d := time.Duration(h.rand.Int64N(int64(longestFault)))
+	d := time.Duration(h.rand.Int64N(int64(maxFaultTime)))
 	switch h.rand.IntN(6) {
 	case 0:
 		h.promote()
@@ -281,73 +282,74 @@
 			h.paused[id] = false
 		})
 	case 3:
-		s.set(func(s *server) { s.silent = true })
-		time.AfterFunc(d, func() { s.set(func(s *server) { s.silent = false }) })
+		s.update(func(s *server) { s.silent = true })
+		time.AfterFunc(d, func() { s.update(func(s *server) { s.silent = false }) })
 	case 4:
-		s.set(func(s *server) { s.broken = true })
-		time.AfterFunc(d/10, func() { s.set(func(s *server) { s.broken = false }) })
+		s.update(func(s *server) { s.broken = true })
+		time.AfterFunc(d/10, func() { s.update(func(s *server) { s.broken = false }) })
 	case 5:
-		s.set(func(s *server) { s.busy = 5 })
+		s.update(func(s *server) { s.busy = 5 })
 	}
 }
 
-// play plays the history of the seed and returns it.
-func play(t *testing.T, seed uint64, without missing) *history {
+// runHistory runs the history of the seed and returns it.
+func runHistory(t *testing.T, seed uint64, disabled mechanism) *history {
 	t.Helper()
 	h := &history{rand: rand.New(rand.NewPCG(seed, 0)), leader: primaryID, paused: map[core.UpstreamID]bool{}}
 	synctest.Test(t, func(t *testing.T) {
-		h.rig = newRig(t)
-		switch without {
+		h.harness = newHarness(t)
+		switch disabled {
 		case suspensionClock:
 			h.proxy.cfg.Now = func() core.Instant { return core.Instant(time.Since(h.start) + time.Hour) }
 		case leadershipProof:
 			for _, s := range h.servers {
-				s.set(func(s *server) { s.unproved = true })
+				s.update(func(s *server) { s.skipLeaderCheck = true })
 			}
 		}
 		var wg sync.WaitGroup
 		for i, database := range []string{"strict", "bounded", "own", "strict", "bounded", "own"} {
-			wg.Go(func() { h.caller(i, database, seed) })
+			wg.Go(func() { h.runCaller(i, database, seed) })
 		}
 		wg.Go(func() {
-			for h.clock() < historyTime {
+			for h.clock() < historyLength {
 				time.Sleep(10 * time.Millisecond)
 				h.replicate()
 				if h.rand.IntN(3) == 0 {
 					h.commitElsewhere()
 				}
 				if h.rand.IntN(30) == 0 {
-					h.fault()
+					h.injectFault()
 				}
 			}
 		})
 		wg.Wait()
-		// Faults that are still to end reach into the bubble.
-		time.Sleep(longestFault)
+		// Timers that end faults must fire before the bubble ends.
+		time.Sleep(maxFaultTime)
 	})
 	return h
 }
 
-// Guards against stale reads, writes that run twice and refusals that aren't true, under random changes of
-// the leader, suspensions of the VM, lagging replicas and upstreams that are silent, broken or busy.
+// Guards against stale reads, writes that run twice and wrong claims that a statement didn't run, under
+// random leader changes, suspensions of the VM, lagging replicas and upstreams that are silent, broken
+// or busy.
 func TestRandomHistories(t *testing.T) {
 	served := 0
 	for seed := range *historySeeds {
-		h := play(t, seed, nothing)
-		assert.Equal(t, len(h.faults), 0, "seed %d: %s", seed, strings.Join(h.faults, "; "))
-		served += h.served
+		h := runHistory(t, seed, noMechanism)
+		assert.Equal(t, len(h.violations), 0, "seed %d: %s", seed, strings.Join(h.violations, "; "))
+		served += h.checkedReads
 	}
 	t.Logf("%d reads were checked", served)
 	assert.Assert(t, served > 100*int(*historySeeds))
 }
 
-// Shows that the checks of TestRandomHistories notice a missing mechanism.
-func TestHistoriesNoticeMissingMechanism(t *testing.T) {
-	for _, without := range []missing{suspensionClock, leadershipProof} {
+// Shows that the checks of TestRandomHistories detect a disabled mechanism.
+func TestHistoryChecksDetectDisabledMechanism(t *testing.T) {
+	for _, without := range []mechanism{suspensionClock, leadershipProof} {
 		found := 0
 		for seed := uint64(0); found == 0 && seed < *historySeeds; seed++ {
-			found = len(play(t, seed, without).faults)
+			found = len(runHistory(t, seed, without).violations)
 		}
-		assert.Assert(t, found > 0, "nothing noticed without mechanism %d", without)
+		assert.Assert(t, found > 0, "nothing detected with mechanism %d disabled", without)
 	}
 }
--- a/core/proxy/load_test.go
+++ b/core/proxy/load_test.go
@@ -17,31 +17,31 @@
 	"snipewall/core/topo"
 )
 
-// Guards against reads that cross regions while the upstream at home would answer sooner, and against
-// reads that queue at home while another region is idle. Load pattern: a surge in one failure domain.
+// Guards against reads that cross regions although the local upstream would answer sooner, and against
+// reads that queue locally while another region is idle. Load pattern: a surge in one failure domain.
 func TestCheapest(t *testing.T) {
 	home := candidate{wait: 20 * time.Millisecond}
-	away := candidate{distance: regionTime, wait: 5 * time.Millisecond}
+	away := candidate{distance: interRegionRTT, wait: 5 * time.Millisecond}
 	tests := []struct {
 		name  string
 		cands []candidate
 		want  int
 	}{
 		{"none", nil, -1},
-		{"home is near enough", []candidate{away, home}, 1},
-		{"home is in a surge", []candidate{away, {wait: 40 * time.Millisecond}}, 0},
-		{"the primary is spared", []candidate{{primary: true, wait: 10 * time.Millisecond}, home}, 1},
-		{"the primary helps out", []candidate{{primary: true, wait: time.Millisecond}, {wait: 50 * time.Millisecond}}, 0},
-		{"a lagging replica is passed over", []candidate{{lagging: true}, home}, 1},
-		{"a failing upstream is the last choice", []candidate{{failing: true}, {primary: true, lagging: true, distance: regionTime}}, 1},
+		{"the local upstream is near enough", []candidate{away, home}, 1},
+		{"the local upstream is in a surge", []candidate{away, {wait: 40 * time.Millisecond}}, 0},
+		{"a replica is preferred to the primary", []candidate{{primary: true, wait: 10 * time.Millisecond}, home}, 1},
+		{"the primary helps in a surge", []candidate{{primary: true, wait: time.Millisecond}, {wait: 50 * time.Millisecond}}, 0},
+		{"a lagging replica is skipped", []candidate{{lagging: true}, home}, 1},
+		{"a failing upstream is the last choice", []candidate{{failing: true}, {primary: true, lagging: true, distance: interRegionRTT}}, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) { assert.Equal(t, cheapest(tt.cands), tt.want) })
 	}
 }
 
-// surge sends reads of the database at a fixed rate for a time and returns how they ended.
-func (r *rig) surge(database string, every, length time.Duration) map[core.Fault]int {
+// surge sends reads of the database at a fixed rate for a time and counts the faults of the replies.
+func (r *harness) surge(database string, every, length time.Duration) map[core.Fault]int {
 	ends := map[core.Fault]int{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -59,12 +59,12 @@
 	return ends
 }
 
-// Guards against a surge of bounded reads that overloads the nearest replica while others idle. At
+// Guards against a surge of bounded reads that overloads the nearest replica while others are idle. At
 // 30 ms a read, one upstream serves 133 reads a second with four in progress; 250 arrive.
-func TestSurgeSpreads(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+func TestSurgeSpreadsOverUpstreams(t *testing.T) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		for _, s := range r.servers {
-			s.set(func(s *server) { s.service = 30 * time.Millisecond })
+			s.update(func(s *server) { s.serviceTime = 30 * time.Millisecond })
 		}
 		r.must(r.proxy.Open("strict"), VerbRead, "READ 0")
 		ends := r.surge("bounded", 4*time.Millisecond, 3*time.Second)
@@ -73,18 +73,18 @@
 	})
 }
 
-// Guards against a surge of the least urgent kind that keeps the urgent one from its slots.
-func TestUrgentInSurge(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+// Guards against a surge of the least urgent rank that keeps urgent reads waiting.
+func TestUrgentReadsDuringSurge(t *testing.T) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		cfg := r.dir.Snapshot().Config
 		cfg.Version++
 		last, urgent := cfg.Routes["own"], cfg.Routes["strict"]
 		last.Rank, last.Reads, urgent.Rank = core.RankLast, topo.Strict, core.RankUrgent
 		cfg.Routes = map[string]topo.Route{"own": last, "strict": urgent}
 		r.dir.Apply(cfg)
-		r.servers[primaryID].set(func(s *server) { s.service = 20 * time.Millisecond })
+		r.servers[primaryID].update(func(s *server) { s.serviceTime = 20 * time.Millisecond })
 		var wg sync.WaitGroup
-		// 500 a second arrive where 200 can run.
+		// 500 a second arrive, and 200 a second can run.
 		wg.Go(func() { r.surge("own", 2*time.Millisecond, 3*time.Second) })
 		time.Sleep(500 * time.Millisecond)
 		worst := time.Duration(0)
@@ -99,11 +99,11 @@
 	})
 }
 
-// Guards against statements that wait for a slot which they can't get in time: they are refused at
-// once, and say when to come back.
-func TestRefusedAtOnce(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
-		r.servers[primaryID].set(func(s *server) { s.service = 100 * time.Millisecond })
+// Guards against statements that wait although they can't get a slot in time. They must be refused
+// immediately, with a retry hint.
+func TestStatementsThatCannotStartAreRefusedImmediately(t *testing.T) {
+	inBubble(t, func(t *testing.T, r *harness) {
+		r.servers[primaryID].update(func(s *server) { s.serviceTime = 100 * time.Millisecond })
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		quick := 0
@@ -124,8 +124,8 @@
 	})
 }
 
-// Guards against VMs that take an upstream's connections from each other, and against a detour over
-// an owner where each VM could dial: 6 to 9 VMs before 22 connections, 74 VMs before 46.
+// Guards against VMs that use up an upstream's connections, and against relaying where each VM could
+// dial directly: 6 to 9 VMs share 22 connections, or 74 VMs share 46.
 func TestPlanPath(t *testing.T) {
 	vms := func(n int) []core.VM {
 		var out []core.VM
@@ -136,22 +136,22 @@
 	}
 	u := topo.Upstream{UpstreamInfo: core.UpstreamInfo{ID: "u", FailureDomain: "here"}}
 	assert.Equal(t, len(planPath("vm-00", vms(6), u, 22).owners), 0)
-	// Three VMs are added, or the list still holds some that are gone: gbpc-shore trouble-3.
+	// Three VMs were added, or the list still holds VMs that are gone.
 	assert.Equal(t, len(planPath("vm-00", vms(9), u, 22).owners), 0)
 	owners := map[core.VMID]int{}
 	for _, vm := range vms(74) {
 		at := planPath(vm.ID, vms(74), u, 46)
 		if len(at.owners) == 0 {
 			owners[vm.ID]++
-			assert.Assert(t, at.conns < 46, "an owner leaves connections to its successor")
+			assert.Assert(t, at.conns < 46, "an owner must leave connections to its successor")
 			continue
 		}
 		assert.Assert(t, at.owners[0].ID != vm.ID)
 	}
-	assert.Equal(t, len(owners), 1, "one VM owns the upstream: %v", owners)
+	assert.Equal(t, len(owners), 1, "one VM must own the upstream: %v", owners)
 }
 
-// manyVMs are more than the connections suffice for; none of them is the rig's own.
+// manyVMs returns more VMs than can dial directly, without the VM of the harness.
 func manyVMs() []core.VM {
 	var out []core.VM
 	for i := range 40 {
@@ -160,33 +160,33 @@
 	return out
 }
 
-// Guards against statements that wait for an owner which is paused or gone, and against VMs that all
-// turn to the upstream itself then.
-func TestOwnerIsGone(t *testing.T) {
+// Guards against statements that wait for an owner which is paused or gone, and against a direct
+// connection of each VM to the upstream in that case.
+func TestOwnerUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, manyVMs()...)
+		r := newHarness(t, manyVMs()...)
 		began := time.Now()
 		r.must(r.proxy.Open("own"), VerbWrite, "WRITE 1")
 		assert.Assert(t, time.Since(began) < 700*time.Millisecond, "took %v", time.Since(began))
 		began = time.Now()
 		r.must(r.proxy.Open("own"), VerbWrite, "WRITE 2")
-		assert.Assert(t, time.Since(began) < 50*time.Millisecond, "the owner is passed over for a while")
+		assert.Assert(t, time.Since(began) < 50*time.Millisecond, "an owner that did not answer must be skipped for a while")
 		r.surge("strict", 5*time.Millisecond, time.Second)
-		assert.Assert(t, r.dials.Load() <= 3*detourConns, "%d direct connections", r.dials.Load())
+		assert.Assert(t, r.dials.Load() <= 3*maxFallbackConns, "%d direct connections", r.dials.Load())
 	})
 }
 
-// Guards against direct connections that are kept after the owner is back.
-func TestOwnerIsBack(t *testing.T) {
+// Guards against direct connections that stay in use after the owner is back.
+func TestReturnToReachableOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, manyVMs()...)
+		r := newHarness(t, manyVMs()...)
 		r.must(r.proxy.Open("own"), VerbWrite, "WRITE 1")
 		asked := 0
 		r.owner = func(id core.UpstreamID) (core.LineConn, error) {
 			asked++
-			return r.relayLink(id)
+			return r.relayConn(id)
 		}
-		time.Sleep(suspectTime)
+		time.Sleep(suspectTTL)
 		direct := r.dials.Load()
 		r.must(r.proxy.Open("own"), VerbWrite, "WRITE 2")
 		assert.Equal(t, asked, 1)
@@ -194,7 +194,7 @@
 	})
 }
 
-// otherVMs are few enough for direct connections.
+// otherVMs returns few enough VMs for direct connections.
 func otherVMs() []core.VM {
 	return []core.VM{
 		{ID: "vm-2", FailureDomain: "here", Region: "home", Relay: "x"},
@@ -202,33 +202,33 @@
 	}
 }
 
-// Guards against a VM without connections that refuses its callers while others have idle ones: after
-// all VMs lost power, the connections of before count against an upstream's limit for 3 s, and the VMs
-// that dial first take what is left.
-func TestConnectionsAreLent(t *testing.T) {
+// Guards against a VM without connections that refuses its callers while other VMs have idle ones:
+// after all VMs lost power, an upstream counts the old connections against its limit for 3 s, and the
+// VMs that dial first get the rest.
+func TestRelayAtConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, otherVMs()...)
-		r.owner = r.relayLink
+		r := newHarness(t, otherVMs()...)
+		r.owner = r.relayConn
 		r.full.Store(true)
 		ends := r.surge("strict", 10*time.Millisecond, time.Second)
 		assert.Equal(t, ends[core.FaultNone], 100, "%v", ends)
 		r.full.Store(false)
-		time.Sleep(connIdle + maxDialBackoff)
+		time.Sleep(connIdleTimeout + maxDialBackoff)
 		r.surge("strict", 10*time.Millisecond, time.Second)
-		assert.Assert(t, r.dials.Load() > 0, "the VM dials again once it may")
+		assert.Assert(t, r.dials.Load() > 0, "the VM must dial again once the upstream accepts connections")
 	})
 }
 
-// Guards against statements of another VM that are passed on: VMs that all lack connections would send
-// them around until their deadline.
-func TestLentStatementsStay(t *testing.T) {
+// Guards against forwarding a relayed statement once more: VMs that all lack connections would forward
+// it in a circle until its deadline.
+func TestRelayedStatementsAreNotForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, otherVMs()...)
+		r := newHarness(t, otherVMs()...)
 		asked := 0
 		r.full.Store(true)
 		r.owner = func(id core.UpstreamID) (core.LineConn, error) {
 			asked++
-			return r.relayLink(id)
+			return r.relayConn(id)
 		}
 		relay, _, ok := r.proxy.OpenRelay(primaryID)
 		assert.Assert(t, ok)
@@ -237,20 +237,19 @@
 		assert.Equal(t, ans.Fault, core.FaultOverload)
 		assert.Equal(t, asked, 0)
 		_, _, ok = r.proxy.OpenRelay(primaryID)
-		assert.Assert(t, !ok, "a VM without connections lends none")
+		assert.Assert(t, !ok, "a VM without connections must not relay")
 	})
 }
 
-// Guards against a replica that counts as silent because its connections are all in use: a group whose
-// primary had crashed kept none for 4 s, since the busiest replica couldn't be heard (gbpc-shore
-// trouble-1, 7 s to 11 s).
-func TestBusyReplicaIsHeard(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+// Guards against a replica that counts as failed because its connections are all in use: after its
+// primary had crashed, a group had no primary for 4 s, since the busiest replica couldn't be probed.
+func TestProbeOfReplicaAtConnectionLimit(t *testing.T) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		r.must(r.proxy.Open("strict"), VerbRead, "READ 0")
-		r.servers[nearID].set(func(s *server) { s.service = 120 * time.Millisecond })
+		r.servers[nearID].update(func(s *server) { s.serviceTime = 120 * time.Millisecond })
 		var wg sync.WaitGroup
 		defer wg.Wait()
-		for range connLimit {
+		for range maxConns {
 			wg.Go(func() { r.must(r.proxy.Open("bounded"), VerbRead, "READ 1") })
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -263,14 +262,14 @@
 	})
 }
 
-// Guards against a VM that refuses its callers and replaces a primary that works, because it alone is cut
-// off from it.
+// Guards against a VM that refuses its callers and replaces a working primary because only this VM is
+// cut off from it.
 func TestCutOffFromPrimary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, otherVMs()...)
-		r.owner = r.relayLink
+		r := newHarness(t, otherVMs()...)
+		r.owner = r.relayConn
 		r.cut = map[core.UpstreamID]bool{primaryID: true}
-		time.Sleep(2 * dialTime)
+		time.Sleep(2 * dialTimeout)
 		began := time.Now()
 		r.must(r.proxy.Open("own"), VerbWrite, "WRITE 1")
 		t.Logf("first write after %v", time.Since(began))
@@ -284,14 +283,14 @@
 	})
 }
 
-// Guards against a statement of another VM that waits in the owner's queue until its deadline: the refusal
-// would meet a VM that has given up, and count as an unknown outcome (gbpc-shore trouble-3, 38 s).
+// Guards against a relayed statement that waits in the owner's queue until its deadline: the VM that
+// sent it has timed out when the refusal arrives, and reports an unknown outcome.
 func TestRelayedStatementIsRefusedInTime(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
-		r.servers[primaryID].set(func(s *server) { s.service = 700 * time.Millisecond })
+	inBubble(t, func(t *testing.T, r *harness) {
+		r.servers[primaryID].update(func(s *server) { s.serviceTime = 700 * time.Millisecond })
 		var wg sync.WaitGroup
 		defer wg.Wait()
-		for range 3 + slotsAhead {
+		for range 3 + extraSlots {
 			wg.Go(func() { r.do(r.proxy.Open("own"), VerbWrite, "WRITE 1") })
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -305,14 +304,14 @@
 	})
 }
 
-// Guards against reads that try lagging replicas again and again: on hoangphat-seals scale-1, where two
-// replicas lagged by 6 s, an upstream's refusals were a third of all statements. The replicas must be used
-// again soon after they have caught up.
-func TestLaggingReplicasAreSpared(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+// Guards against reads that keep trying lagging replicas: where two replicas lagged by 6 s, lag
+// refusals were a third of an upstream's statements. The replicas must be used again soon after they
+// have caught up.
+func TestBackoffFromLaggingReplicas(t *testing.T) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		replicas := []core.UpstreamID{nearID, farID}
 		for _, id := range replicas {
-			r.servers[id].set(func(s *server) { s.log.Offset = 5 })
+			r.servers[id].update(func(s *server) { s.log.Offset = 5 })
 		}
 		r.must(r.proxy.Open("strict"), VerbRead, "READ 0")
 		const length = 3 * time.Second
@@ -320,29 +319,29 @@
 		assert.Equal(t, ends[core.FaultNone], 300, "%v", ends)
 		for _, id := range replicas {
 			lagged := r.servers[id].lagged
-			assert.Assert(t, lagged <= lagCertain+int(length/maxLagMemory)+1, "%s was tried %d times", id, lagged)
-			r.servers[id].set(func(s *server) { s.log.Offset = 10 })
+			assert.Assert(t, lagged <= lagSkipCount+int(length/maxLagBackoff)+1, "%s was tried %d times", id, lagged)
+			r.servers[id].update(func(s *server) { s.log.Offset = 10 })
 		}
-		time.Sleep(maxLagMemory)
+		time.Sleep(maxLagBackoff)
 		before := len(r.texts(nearID))
 		r.surge("bounded", 10*time.Millisecond, time.Second)
 		assert.Assert(t, len(r.texts(nearID))-before > 90)
 	})
 }
 
-// Guards against VMs that take the connections of an upstream from its owner while it has none yet: 71 VMs
-// that came back at once (hoangphat-seals-grown trouble-2, 36 s) opened two connections each before 104.
-// An owner that goes on refusing may be the one that is cut off.
-func TestOwnerRefuses(t *testing.T) {
+// Guards against VMs that use up the connections of an upstream while its owner has none yet: 71 VMs
+// that restarted at once opened two connections each, with a limit of 104. An owner that keeps refusing
+// may be cut off itself, so direct connections must follow.
+func TestOwnerAtConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, manyVMs()...)
+		r := newHarness(t, manyVMs()...)
 		var refuse atomic.Bool
 		refuse.Store(true)
 		r.owner = func(id core.UpstreamID) (core.LineConn, error) {
 			if refuse.Load() {
 				return nil, &core.RefusedError{Upstream: id}
 			}
-			return r.relayLink(id)
+			return r.relayConn(id)
 		}
 		r.surge("strict", 5*time.Millisecond, time.Second)
 		assert.Equal(t, r.dials.Load(), int32(0))
@@ -351,18 +350,18 @@
 		r.must(r.proxy.Open("own"), VerbWrite, "WRITE 1")
 		assert.Equal(t, r.dials.Load(), int32(0))
 		refuse.Store(true)
-		time.Sleep(hopIdle + time.Second)
-		r.surge("strict", 5*time.Millisecond, ownerPatience+time.Second)
+		time.Sleep(relayIdleTimeout + time.Second)
+		r.surge("strict", 5*time.Millisecond, ownerRefusalWait+time.Second)
 		assert.Assert(t, r.dials.Load() > 0)
 		r.must(r.proxy.Open("own"), VerbWrite, "WRITE 2")
 	})
 }
 
-// Guards against a primary that counts as failed although nobody could ask it: its owners refuse, and it
-// accepts no connection of this VM.
-func TestUnaskedPrimary(t *testing.T) {
+// Guards against a primary that counts as failed although no probe could be sent: its owners refuse,
+// and it accepts no connection of this VM.
+func TestProbeThatCannotBeSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, manyVMs()...)
+		r := newHarness(t, manyVMs()...)
 		r.full.Store(true)
 		r.owner = func(id core.UpstreamID) (core.LineConn, error) { return nil, &core.RefusedError{Upstream: id} }
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
--- a/core/proxy/metrics.go
+++ b/core/proxy/metrics.go
@@ -6,10 +6,9 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// metrics are the proxy's counters and histograms.
 type metrics struct {
-	statements, faults, retries, refusals, dials, overloads, aborts, hopDials tally.Counter
-	latency                                                                   tally.Histogram
+	statements, faults, retries, refusals, dials, overloads, aborts, ownerDials tally.Counter
+	latency                                                                     tally.Histogram
 }
 
 // latencyBuckets covers 1 ms to 16 s.
@@ -26,7 +25,7 @@
 		refusals:   scope.Counter("Refusals"),
 		dials:      scope.Counter("Dials"),
 		overloads:  scope.Counter("ConnectionLimit"),
-		hopDials:   scope.Counter("OwnerDials"),
+		ownerDials: scope.Counter("OwnerDials"),
 		aborts:     scope.Counter("AbortedTransactions"),
 		latency:    scope.Histogram("StatementTime", latencyBuckets),
 	}
--- a/core/proxy/path.go
+++ b/core/proxy/path.go
@@ -11,54 +11,53 @@
 )
 
 const (
-	// ownerShare is the part of an upstream's connections that its owner takes. The rest is for its
+	// ownerConnShare is the share of an upstream's connections that its owner uses. The rest is for its
 	// successor while the owner is paused or cut off, and for VMs that reach no owner.
-	ownerShare = 0.65
-	// leastConns is the number of connections to an upstream that each VM must be able to have where VMs
-	// dial directly. Those that need more for a while borrow them.
-	leastConns = 2
-	// ownerCount is how many entry VMs are tried as owners of an upstream before it is dialed directly.
-	ownerCount = 2
-	// suspectTime is how long an owner that didn't answer is passed over.
-	suspectTime = 2 * time.Second
+	ownerConnShare = 0.65
+	// minConnsPerVM is the number of connections to an upstream that each VM must be able to open for
+	// VMs to dial directly. A VM that needs more for a while relays through others.
+	minConnsPerVM = 2
+	// maxOwners is the number of owners that are tried before an upstream is dialed directly.
+	maxOwners = 2
+	// suspectTTL is how long an owner that didn't answer is skipped.
+	suspectTTL = 2 * time.Second
 )
 
 // path is how a VM reaches an upstream: directly, or through the VM that owns it.
 type path struct {
-	// owners are tried in order; empty means directly.
+	// owners are tried in order; empty for direct connections.
 	owners []core.VM
-	// conns is the number of connections.
+	// conns is the maximum number of connections.
 	conns int
 }
 
-// isIndirect reports whether the VM reaches the upstream through its owners.
 func (a path) isIndirect() bool { return len(a.owners) > 0 }
 
 func (a path) equal(b path) bool {
 	return a.conns == b.conns && slices.EqualFunc(a.owners, b.owners, func(x, y core.VM) bool { return x.ID == y.ID && x.Relay == y.Relay })
 }
 
-// planPath decides how the VM reaches the upstream. While the connections suffice for all VMs, each
-// one dials directly, which is the shortest path and has no point of failure. Otherwise the upstream
-// has an owner in its failure domain, and the others go through it.
+// planPath decides how the VM reaches the upstream. While the connections suffice for all VMs, each one
+// dials directly, which is the shortest path and has no point of failure. Otherwise the upstream has an
+// owner in its failure domain, and the other VMs relay through it.
 func planPath(self core.VMID, alive []core.VM, u topo.Upstream, connections int) path {
-	if len(alive)*leastConns <= connections {
-		return path{conns: max(1, min(connLimit, connections))}
+	if len(alive)*minConnsPerVM <= connections {
+		return path{conns: max(1, min(maxConns, connections))}
 	}
-	owners := place.Owners(u.UpstreamInfo, alive, ownerCount)
+	owners := place.Owners(u.UpstreamInfo, alive, maxOwners)
 	if len(owners) == 0 || owners[0].ID == self {
 		return ownerPath(connections)
 	}
 	owners = slices.DeleteFunc(owners, func(vm core.VM) bool { return vm.ID == self || vm.Relay == "" })
-	return path{owners: owners, conns: hopConns}
+	return path{owners: owners, conns: maxRelayConns}
 }
 
 // ownerPath is the path of an upstream's owner.
 func ownerPath(connections int) path {
-	return path{conns: max(connLimit, int(ownerShare*float64(connections)))}
+	return path{conns: max(maxConns, int(ownerConnShare*float64(connections)))}
 }
 
-// suspects are entry VMs that didn't answer lately. It is safe for concurrent use.
+// suspects are entry VMs that recently didn't answer. It is safe for concurrent use.
 type suspects struct {
 	mu sync.Mutex
 	at map[core.VMID]time.Time
@@ -77,5 +76,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at, ok := s.at[id]
-	return ok && time.Since(at) < suspectTime
+	return ok && time.Since(at) < suspectTTL
 }
--- a/core/proxy/proxy.go
+++ b/core/proxy/proxy.go
@@ -19,7 +19,7 @@
 	retryBurst = 20
 )
 
-// Config configures a Proxy.
+// Config configures a Proxy. Metrics and Now may be nil.
 type Config struct {
 	Directory *topo.Directory
 	Dialer    core.LineDialer
@@ -27,14 +27,14 @@
 	Self core.VM
 	// Regions holds the region of each failure domain.
 	Regions map[core.FailureDomain]core.Region
-	// Members are the entry VMs, and DialOwner reaches one that owns an upstream.
+	// Members are the entry VMs, and DialOwner connects to one that owns an upstream.
 	Members   Members
 	DialOwner func(ctx context.Context, owner core.VM, id core.UpstreamID) (core.LineConn, error)
-	// Refresh brings the directory up to date with the store.
+	// Refresh updates the directory from the store.
 	Refresh func(ctx context.Context) error
 	Log     log.Logger
 	Metrics tally.Scope
-	// Now reads a clock that counts suspension; nil stands for core.Now.
+	// Now reads a clock that advances while the VM is suspended; nil stands for core.Now.
 	Now func() core.Instant
 }
 
@@ -45,29 +45,28 @@
 	Changed() <-chan struct{}
 }
 
-// Proxy is the service "proxy".
+// Proxy is the service "proxy": it executes the statements of sessions and of other VMs' relays.
 type Proxy struct {
-	cfg     Config
-	metrics metrics
-	budget  *retry.Budget
-	// suspects are owners that didn't answer.
+	cfg      Config
+	metrics  metrics
+	budget   *retry.Budget
 	suspects suspects
 
-	// ends receives one value for each goroutine that ends; tasks counts the ones that run.
-	ends chan struct{}
+	// taskEnds receives one value for each goroutine that ends; tasks counts those that run.
+	taskEnds chan struct{}
 
-	// reconciling is held while nodes are made to match the directory. ctx is the context of Run,
-	// which nodes end with; nil before Run.
-	reconciling sync.Mutex
+	// reconcileMu is held while nodes are reconciled with the directory. ctx is the context of Run,
+	// which is the parent of all nodes; nil before Run.
+	reconcileMu sync.Mutex
 	ctx         context.Context
 
 	mu     sync.Mutex
 	tasks  int
 	groups map[core.GroupID]*group
 	nodes  map[core.UpstreamID]*node
-	// spare are direct nodes for other VMs that take this one for an owner when it isn't.
-	spare   map[core.UpstreamID]*node
-	changed chan struct{}
+	// relayOnly holds nodes with direct connections for VMs that wrongly take this one for the owner.
+	relayOnly map[core.UpstreamID]*node
+	changed   chan struct{}
 }
 
 // New returns a proxy that serves nothing before Run.
@@ -77,11 +76,11 @@
 	}
 	return &Proxy{
 		cfg: cfg, metrics: newMetrics(cfg.Metrics),
-		budget: retry.NewBudget(retry.Config{Ratio: retryRatio, Burst: retryBurst}),
-		ends:   make(chan struct{}, 16),
-		groups: make(map[core.GroupID]*group), nodes: make(map[core.UpstreamID]*node),
-		spare:   make(map[core.UpstreamID]*node),
-		changed: make(chan struct{}),
+		budget:   retry.NewBudget(retry.Config{Ratio: retryRatio, Burst: retryBurst}),
+		taskEnds: make(chan struct{}, 16),
+		groups:   make(map[core.GroupID]*group), nodes: make(map[core.UpstreamID]*node),
+		relayOnly: make(map[core.UpstreamID]*node),
+		changed:   make(chan struct{}),
 	}
 }
 
@@ -90,32 +89,33 @@
 
 // Run follows the directory until ctx ends and then waits for its goroutines.
 func (p *Proxy) Run(ctx context.Context) error {
-	p.reconciling.Lock()
+	p.reconcileMu.Lock()
 	p.ctx = ctx
-	p.reconciling.Unlock()
+	p.reconcileMu.Unlock()
 	for ctx.Err() == nil {
 		snap, members := p.cfg.Directory.Snapshot(), p.cfg.Members.Changed()
 		p.reconcile(snap)
-		p.await(ctx, snap, members)
+		p.awaitChange(ctx, snap, members)
 	}
 	p.mu.Lock()
 	for _, n := range p.nodes {
 		n.cancel()
 	}
-	for _, n := range p.spare {
+	for _, n := range p.relayOnly {
 		n.cancel()
 	}
 	p.mu.Unlock()
-	for p.running() > 0 {
-		<-p.ends
-		p.ended()
+	for p.runningTasks() > 0 {
+		<-p.taskEnds
+		p.taskEnded()
 	}
 	return nil
 }
 
-// await waits for a newer snapshot and for ends of goroutines.
-func (p *Proxy) await(ctx context.Context, snap *topo.Snapshot, members <-chan struct{}) {
-	// Upstreams whose grace ended disappear without a change of the directory.
+// awaitChange waits for a new snapshot, a change of the members or one second, and collects goroutines
+// that ended.
+func (p *Proxy) awaitChange(ctx context.Context, snap *topo.Snapshot, members <-chan struct{}) {
+	// An upstream whose grace period ended disappears without a change of the directory.
 	timer := time.NewTimer(time.Second)
 	defer timer.Stop()
 	for {
@@ -128,30 +128,30 @@
 			return
 		case <-timer.C:
 			return
-		case <-p.ends:
-			p.ended()
+		case <-p.taskEnds:
+			p.taskEnded()
 		}
 	}
 }
 
-// spawn runs fn in a goroutine that reports its end to Run.
+// spawn runs fn in a goroutine that Run waits for.
 func (p *Proxy) spawn(fn func()) {
 	p.mu.Lock()
 	p.tasks++
 	p.mu.Unlock()
 	go func() {
 		fn()
-		p.ends <- struct{}{}
+		p.taskEnds <- struct{}{}
 	}()
 }
 
-func (p *Proxy) ended() {
+func (p *Proxy) taskEnded() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tasks--
 }
 
-func (p *Proxy) running() int {
+func (p *Proxy) runningTasks() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.tasks
@@ -159,8 +159,8 @@
 
 // reconcile makes groups and nodes match the snapshot.
 func (p *Proxy) reconcile(snap *topo.Snapshot) {
-	p.reconciling.Lock()
-	defer p.reconciling.Unlock()
+	p.reconcileMu.Lock()
+	defer p.reconcileMu.Unlock()
 	ctx := p.ctx
 	if ctx == nil || ctx.Err() != nil {
 		return
@@ -173,8 +173,8 @@
 		var nodes []*node
 		for _, u := range snap.Group(id) {
 			seen[u.ID] = true
-			n, fresh := p.node(ctx, g, u, planPath(p.cfg.Self.ID, alive, u, cfg.Connections))
-			changed = changed || fresh
+			n, nodeChanged := p.node(ctx, g, u, planPath(p.cfg.Self.ID, alive, u, cfg.Connections))
+			changed = changed || nodeChanged
 			nodes = append(nodes, n)
 		}
 		g.nodes.Store(&nodes)
@@ -187,27 +187,27 @@
 			changed = true
 		}
 	}
-	for id, n := range p.spare {
-		if main := p.nodes[id]; main == nil || !main.sameIncarnation(n.info.Load()) {
+	for id, n := range p.relayOnly {
+		if main := p.nodes[id]; main == nil || !main.isSameIncarnation(n.info.Load()) {
 			n.cancel()
-			delete(p.spare, id)
+			delete(p.relayOnly, id)
 		}
 	}
 	p.mu.Unlock()
 	if changed {
-		p.announce()
+		p.notifyChanged()
 	}
 }
 
-// announce wakes the statements that wait for a change.
-func (p *Proxy) announce() {
+// notifyChanged wakes the statements that wait for a change.
+func (p *Proxy) notifyChanged() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// group returns the group, which is created if it is new.
+// group returns the group and creates it if necessary.
 func (p *Proxy) group(id core.GroupID) *group {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -219,21 +219,21 @@
 	return g
 }
 
-// node returns the upstream's node and whether anything about it changed. Another incarnation,
-// address or path gets a new node, so that nothing known of the old one is used for it.
-func (p *Proxy) node(ctx context.Context, g *group, u topo.Upstream, at path) (*node, bool) {
+// node returns the upstream's node and whether anything about it changed. Another incarnation, address
+// or path gets a new node, so that no state of the old one is used for it.
+func (p *Proxy) node(ctx context.Context, g *group, u topo.Upstream, via path) (*node, bool) {
 	p.mu.Lock()
 	n, ok := p.nodes[u.ID]
 	p.mu.Unlock()
 	if ok {
 		old := n.info.Load()
-		if n.sameIncarnation(&u) && n.path.equal(at) {
+		if n.isSameIncarnation(&u) && n.path.equal(via) {
 			n.update(u)
 			return n, *old != u
 		}
 		n.cancel()
 	}
-	n = p.newNode(ctx, g, u, at)
+	n = p.newNode(ctx, g, u, via)
 	p.mu.Lock()
 	p.nodes[u.ID] = n
 	p.mu.Unlock()
@@ -247,7 +247,7 @@
 	return p.changed
 }
 
-// Policy implements core.Policies for the admission queues: each route is a kind of its own.
+// Policy implements core.Policies for the admission queues: each route is a kind.
 func (p *Proxy) Policy(kind core.Kind) (core.KindPolicy, bool) {
 	r, ok := p.cfg.Directory.Snapshot().Route(string(kind))
 	if !ok {
--- a/core/proxy/relay.go
+++ b/core/proxy/relay.go
@@ -8,25 +8,25 @@
 	"snipewall/core/queue"
 )
 
-// Relay runs the commands of another entry VM on an upstream that this one owns. It is used by one
+// Relay executes the commands of another entry VM on an upstream that this one owns. It is used by one
 // goroutine at a time.
 type Relay struct {
 	n *node
-	// state holds the values of the other VM's session.
-	state Session
-	// prepared are the shapes by their name on upstream connections.
-	prepared map[string]shape
-	held     *held
-	// refused tells that BEGIN was refused and nothing runs before ROLLBACK.
-	refused bool
-	body    []byte
+	// session holds the session values of the other VM's session.
+	session Session
+	// prepared holds the prepared statements by their name on upstream connections.
+	prepared map[string]preparedStmt
+	held     *heldConn
+	// beginRefused tells that BEGIN was refused, so that nothing runs before ROLLBACK.
+	beginRefused bool
+	body         []byte
 }
 
 // OpenRelay returns a relay to the upstream and the upstream's last known position, or false if the
-// upstream isn't known here or accepts no connection of this VM.
+// upstream is unknown here or accepts no connection of this VM.
 func (p *Proxy) OpenRelay(id core.UpstreamID) (*Relay, core.Position, bool) {
-	n := p.owned(id)
-	if n == nil || !n.mayLend() {
+	n := p.directNode(id)
+	if n == nil || !n.canRelay() {
 		return nil, core.Position{}, false
 	}
 	n.mu.Lock()
@@ -34,58 +34,58 @@
 	return &Relay{n: n}, n.position, true
 }
 
-// owned returns a node that reaches the upstream directly. VMs that disagree about the owner may send
-// work to one that isn't; it serves it as an owner would.
-func (p *Proxy) owned(id core.UpstreamID) *node {
-	p.reconciling.Lock()
-	defer p.reconciling.Unlock()
+// directNode returns a node that reaches the upstream directly. VMs that disagree about the owner may
+// send work to a VM that isn't; it serves the work as an owner would.
+func (p *Proxy) directNode(id core.UpstreamID) *node {
+	p.reconcileMu.Lock()
+	defer p.reconcileMu.Unlock()
 	p.mu.Lock()
-	n, spare := p.nodes[id], p.spare[id]
+	n, relayOnly := p.nodes[id], p.relayOnly[id]
 	p.mu.Unlock()
 	if n == nil || !n.path.isIndirect() {
 		return n
 	}
-	if spare != nil {
-		return spare
+	if relayOnly != nil {
+		return relayOnly
 	}
 	u := *n.info.Load()
 	connections := p.cfg.Directory.Snapshot().Config.Groups[u.Group].Connections
-	spare = p.newNode(p.ctx, n.group, u, ownerPath(connections))
+	relayOnly = p.newNode(p.ctx, n.group, u, ownerPath(connections))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.spare[id] = spare
-	return spare
+	p.relayOnly[id] = relayOnly
+	return relayOnly
 }
 
-// Close rolls back what is open.
+// Close rolls back an open transaction.
 func (r *Relay) Close() { r.rollback() }
 
-// Pause gives back the slot of a transaction whose next statement hasn't arrived.
+// Pause releases the slot of a transaction whose next statement hasn't arrived.
 func (r *Relay) Pause() {
 	if r.held != nil {
 		r.held.releaseSlot(false)
 	}
 }
 
-// Execute runs one command until the deadline.
+// Execute executes one command. Its answer is due at the deadline.
 func (r *Relay) Execute(ctx context.Context, cmd core.Command, deadline time.Time) core.Answer {
 	switch cmd.Op {
 	case core.OpReset:
-		r.state.values, r.state.valueKey, r.prepared = nil, "", nil
+		r.session.values, r.session.valueKey, r.prepared = nil, "", nil
 	case core.OpSet:
-		r.state.set(cmd.Name, cmd.Text)
+		r.session.set(cmd.Name, cmd.Text)
 	case core.OpPrepare:
 		if r.prepared == nil {
-			r.prepared = make(map[string]shape)
+			r.prepared = make(map[string]preparedStmt)
 		}
-		r.prepared[cmd.Name] = shape{write: cmd.Write, text: cmd.Text}
+		r.prepared[cmd.Name] = preparedStmt{write: cmd.Write, text: cmd.Text}
 	case core.OpRollback:
 		r.rollback()
-		r.refused = false
+		r.beginRefused = false
 	case core.OpBegin, core.OpBeginRead:
 		return r.begin(ctx, cmd, deadline)
 	default:
-		if r.refused {
+		if r.beginRefused {
 			return core.Answer{Fault: core.FaultMalformed, Text: "the transaction wasn't opened", Status: core.TxFailed}
 		}
 		return r.run(ctx, cmd, deadline)
@@ -106,37 +106,37 @@
 	}
 	h := r.held
 	r.held = nil
-	h.recycle(core.TxOpen, core.FaultNone)
+	h.rollbackAndFree(core.TxOpen, core.FaultNone)
 }
 
-// begin opens a transaction and keeps its connection, and its slot until Pause.
+// begin opens a transaction. It keeps the connection, and the slot until Pause.
 func (r *Relay) begin(ctx context.Context, cmd core.Command, deadline time.Time) core.Answer {
 	r.rollback()
-	r.refused = true
+	r.beginRefused = true
 	h, refused := r.connect(ctx, cmd, deadline)
 	if refused != nil {
 		return core.Answer{Fault: refused.Fault, Text: refused.Text, Status: core.TxFailed}
 	}
-	cmds := append(h.handle.Value.align(&r.state, nil), cmd)
+	cmds := append(h.handle.Value.setUpCommands(&r.session, nil), cmd)
 	ans, err := h.exchange(cmds, deadline)
 	if err != nil {
 		r.n.noteFailure(h.handle.Value)
-		h.drop()
+		h.discard()
 		return core.Answer{Fault: core.FaultBusy, Text: "the upstream doesn't answer", Status: core.TxFailed}
 	}
 	r.n.notePosition(ans.Position)
 	if ans.Fault != core.FaultNone {
-		h.recycle(ans.Status, ans.Fault)
+		h.rollbackAndFree(ans.Status, ans.Fault)
 		ans.Status = core.TxFailed
 		return ans
 	}
-	r.held, r.refused = h, false
-	return r.keep(ans)
+	r.held, r.beginRefused = h, false
+	return r.copyBody(ans)
 }
 
-// connect takes a connection for a transaction, with a slot unless the transaction only asks who
-// leads: that takes no slot of the upstream.
-func (r *Relay) connect(ctx context.Context, cmd core.Command, deadline time.Time) (*held, *Reply) {
+// connect takes a connection for a transaction, with a slot unless the transaction is only a leadership
+// probe, which takes no slot of the upstream.
+func (r *Relay) connect(ctx context.Context, cmd core.Command, deadline time.Time) (*heldConn, *Reply) {
 	if cmd.Kind != "" {
 		return r.n.acquire(ctx, &queue.Item{Kind: cmd.Kind, Rank: cmd.Rank, OpensTx: true, Deadline: startBy(cmd, deadline)}, r.n.getDirect)
 	}
@@ -144,11 +144,11 @@
 	if err != nil {
 		return nil, &Reply{Fault: core.FaultOverload, Text: "no connection to the upstream in time"}
 	}
-	return &held{node: r.n, handle: handle}, nil
+	return &heldConn{node: r.n, handle: handle}, nil
 }
 
-// startBy is until when the command may wait. Beyond it, its caller is served better by a refusal, which
-// has to arrive before the caller's VM gives up, as the outcome would be unknown then.
+// startBy is until when the command may wait. After that a refusal serves its caller better. The
+// refusal has to arrive before the caller's VM times out, since the outcome would be unknown then.
 func startBy(cmd core.Command, deadline time.Time) time.Time {
 	if cmd.StartBy.IsZero() {
 		return deadline
@@ -156,30 +156,30 @@
 	return cmd.StartBy
 }
 
-// run passes a caller's statement on.
+// run executes a caller's statement.
 func (r *Relay) run(ctx context.Context, cmd core.Command, deadline time.Time) core.Answer {
-	var sh *shape
+	var ps *preparedStmt
 	if cmd.Op == core.OpExecute {
 		s, ok := r.prepared[cmd.Name]
 		if !ok {
 			return core.Answer{Fault: core.FaultUnprepared, Text: "no such prepared statement", Status: r.status()}
 		}
-		sh = &s
+		ps = &s
 	}
 	h, refused := r.admit(ctx, cmd, deadline)
 	if refused != nil {
 		return core.Answer{Fault: refused.Fault, Text: refused.Text, Status: r.status()}
 	}
-	cmds := append(h.handle.Value.align(&r.state, sh), cmd)
+	cmds := append(h.handle.Value.setUpCommands(&r.session, ps), cmd)
 	sent := time.Now()
 	ans, err := h.exchange(cmds, deadline)
 	if err != nil {
 		r.n.noteFailure(h.handle.Value)
-		return r.lost(h, cmd, err)
+		return r.handleLostConn(h, cmd, err)
 	}
 	now := time.Now()
 	r.n.noteAnswer(now, now.Sub(sent), ans.Position)
-	ans = r.keep(ans)
+	ans = r.copyBody(ans)
 	switch {
 	case r.held == nil:
 		h.free(ans.Fault == core.FaultNone)
@@ -192,8 +192,8 @@
 	return ans
 }
 
-// admit takes a slot, and a connection unless a transaction holds one.
-func (r *Relay) admit(ctx context.Context, cmd core.Command, deadline time.Time) (*held, *Reply) {
+// admit takes a slot, and a connection unless the transaction holds one.
+func (r *Relay) admit(ctx context.Context, cmd core.Command, deadline time.Time) (*heldConn, *Reply) {
 	if r.held == nil {
 		return r.n.acquire(ctx, &queue.Item{Kind: cmd.Kind, Rank: cmd.Rank, Deadline: startBy(cmd, deadline)}, r.n.getDirect)
 	}
@@ -203,12 +203,12 @@
 	return r.held, r.held.admit(ctx, &queue.Item{Kind: cmd.Kind, Rank: cmd.Rank, InTx: true, Deadline: startBy(cmd, deadline)})
 }
 
-// lost answers a statement whose connection failed: a transaction that wasn't asked to commit is
+// handleLostConn answers a statement whose connection failed: a transaction whose COMMIT wasn't sent is
 // rolled back, anything else may have run.
-func (r *Relay) lost(h *held, cmd core.Command, err error) core.Answer {
+func (r *Relay) handleLostConn(h *heldConn, cmd core.Command, err error) core.Answer {
 	inTx := r.held != nil
 	r.held = nil
-	h.drop()
+	h.discard()
 	ans := core.Answer{Fault: core.FaultInDoubt, Text: "the upstream broke off", Status: core.TxIdle}
 	switch {
 	case inTx && !cmd.Commit:
@@ -219,8 +219,8 @@
 	return ans
 }
 
-// keep copies the answer's body, which the connection may use again once it is free.
-func (r *Relay) keep(ans core.Answer) core.Answer {
+// copyBody copies the answer's body, since the connection reuses its memory once it is free.
+func (r *Relay) copyBody(ans core.Answer) core.Answer {
 	if ans.Body != nil {
 		r.body = append(r.body[:0], ans.Body...)
 		ans.Body = r.body
--- a/core/proxy/session.go
+++ b/core/proxy/session.go
@@ -9,9 +9,9 @@
 	"snipewall/core"
 )
 
-// firstConfigTime is how long a new connection waits for the first configuration. Callers give up
+// firstConfigTimeout is how long a new connection waits for the first configuration. Callers give up
 // after 2 s.
-const firstConfigTime = 1700 * time.Millisecond
+const firstConfigTimeout = 1700 * time.Millisecond
 
 // Verb is what a caller's statement does.
 type Verb uint8
@@ -26,7 +26,7 @@
 	VerbRollback
 	// VerbSet sets the session value Name to Arg.
 	VerbSet
-	// VerbPrepare prepares the statement Name with the shape Arg.
+	// VerbPrepare prepares the statement with the text Arg as Name.
 	VerbPrepare
 	// VerbExecute runs the prepared statement Name with the arguments Arg.
 	VerbExecute
@@ -37,11 +37,11 @@
 type Statement struct {
 	ID   core.RequestID
 	Verb Verb
-	// Text is the whole statement, which upstreams get unchanged.
+	// Text is the whole statement. Upstreams get it unchanged.
 	Text string
-	// Name and Arg are the operands that the verb names.
+	// Name and Arg are the operands, as the verb defines them.
 	Name, Arg string
-	// Write tells that the prepared shape writes.
+	// Write tells that the prepared statement writes.
 	Write bool
 }
 
@@ -51,16 +51,16 @@
 	Fault core.Fault
 	// Text explains the fault.
 	Text string
-	// Body is the upstream's encoded answer, or nil if snipewall answers itself. It is valid until
-	// the next statement of the session.
+	// Body is the upstream's encoded answer, or nil if snipewall answers itself. It is valid until the
+	// next statement of the session.
 	Body     []byte
 	Status   core.TxStatus
 	Position core.Position
-	// overloaded tells that the upstream's queue refused the statement: waiting for it is in vain.
+	// overloaded tells that the upstream's queue refused the statement because of load, so that a retry
+	// there is useless.
 	overloaded bool
 }
 
-// value is one session value.
 type value struct{ name, value string }
 
 // Session is one caller's connection. It is used by one goroutine at a time.
@@ -68,14 +68,15 @@
 	p        *Proxy
 	database string
 	values   []value
-	// valueKey identifies the values.
+	// valueKey encodes all values, for comparison with those of a connection.
 	valueKey string
-	prepared map[string]shape
-	// own is the position of the session's last commit; strictOwn tells that it isn't known.
-	own       core.Position
-	strictOwn bool
-	tx        *tx
-	body      []byte
+	prepared map[string]preparedStmt
+	// lastCommit is the position of the session's last commit; lastCommitUnknown tells that the
+	// upstream didn't report it.
+	lastCommit        core.Position
+	lastCommitUnknown bool
+	tx                *tx
+	body              []byte
 }
 
 // Open starts a session on the database.
@@ -84,7 +85,7 @@
 // Admit reports whether the database can be opened: FaultNone, FaultNoDatabase, or FaultBusy if no
 // configuration is known. An entry VM that has just started waits a short time for its first one.
 func (p *Proxy) Admit(ctx context.Context, database string) core.Fault {
-	timer := time.NewTimer(firstConfigTime)
+	timer := time.NewTimer(firstConfigTimeout)
 	defer timer.Stop()
 	for {
 		snap := p.cfg.Directory.Snapshot()
@@ -126,7 +127,7 @@
 	return s.p.cfg.Directory.Snapshot().Config.TxIdle
 }
 
-// Abort rolls an open transaction back. Its next statement learns that it was aborted.
+// Abort rolls an open transaction back. Its next statement gets FaultAborted with the reason.
 func (s *Session) Abort(reason string) {
 	if s.tx == nil || s.tx.failed {
 		return
@@ -143,7 +144,7 @@
 	s.tx = nil
 }
 
-// Execute runs one statement. The session's goroutine blocks until the answer is known.
+// Execute runs one statement and blocks until its answer is known.
 func (s *Session) Execute(ctx context.Context, st *Statement) Reply {
 	began := time.Now()
 	r := s.dispatch(ctx, st, began)
@@ -166,7 +167,7 @@
 		return Reply{}
 	}
 	if s.tx != nil && s.tx.failed {
-		return s.inFailed(st)
+		return s.replyInFailedTx(st)
 	}
 	switch st.Verb {
 	case VerbBegin, VerbBeginRead:
@@ -176,9 +177,9 @@
 		return Reply{}
 	case VerbPrepare:
 		if s.prepared == nil {
-			s.prepared = make(map[string]shape)
+			s.prepared = make(map[string]preparedStmt)
 		}
-		s.prepared[st.Name] = shape{write: st.Write, text: st.Arg}
+		s.prepared[st.Name] = preparedStmt{write: st.Write, text: st.Arg}
 		return Reply{}
 	case VerbDeallocate:
 		delete(s.prepared, st.Name)
@@ -198,8 +199,8 @@
 	return s.runSingle(ctx, w)
 }
 
-// inFailed answers a statement in a failed transaction, which only its end may follow.
-func (s *Session) inFailed(st *Statement) Reply {
+// replyInFailedTx answers a statement in a failed transaction, which allows only COMMIT and ROLLBACK.
+func (s *Session) replyInFailedTx(st *Statement) Reply {
 	reason := s.tx.aborted
 	s.tx.aborted = ""
 	if st.Verb == VerbCommit {
@@ -220,7 +221,6 @@
 	return Reply{}
 }
 
-// fail marks an open transaction as failed.
 func (s *Session) fail(r Reply) Reply {
 	if s.tx != nil {
 		s.tx.failed = true
@@ -249,11 +249,11 @@
 // noteCommit records the position of the session's own commit.
 func (s *Session) noteCommit(p core.Position) {
 	if p.IsZero() {
-		s.strictOwn = true
+		s.lastCommitUnknown = true
 		return
 	}
-	s.strictOwn = false
-	if s.own.Less(p) {
-		s.own = p
+	s.lastCommitUnknown = false
+	if s.lastCommit.Less(p) {
+		s.lastCommit = p
 	}
 }
--- a/core/proxy/session_test.go
+++ b/core/proxy/session_test.go
@@ -11,17 +11,17 @@
 	"snipewall/core/topo"
 )
 
-func inBubble(t *testing.T, test func(t *testing.T, r *rig)) {
+func inBubble(t *testing.T, test func(t *testing.T, r *harness)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { test(t, newRig(t)) })
+	synctest.Test(t, func(t *testing.T) { test(t, newHarness(t)) })
 }
 
-// Guards against a strict read at an upstream that no longer leads: its log lacks later commits.
+// Guards against a strict read on an upstream that no longer leads: its log lacks later commits.
 func TestStrictReadNeedsLeader(t *testing.T) {
 	for _, guards := range []bool{false, true} {
-		inBubble(t, func(t *testing.T, r *rig) {
+		inBubble(t, func(t *testing.T, r *harness) {
 			r.guards = guards
-			r.servers[primaryID].set(func(s *server) { s.leads = false })
+			r.servers[primaryID].update(func(s *server) { s.leads = false })
 			s := r.proxy.Open("strict")
 			reply := r.do(s, VerbRead, "READ 1")
 			assert.Equal(t, reply.Fault, core.FaultBusy)
@@ -33,16 +33,16 @@
 	}
 }
 
-// Guards against reads that miss commits acknowledged before their accepted age: the awaited position
+// Guards against reads that miss commits acknowledged before their maximum age: the awaited position
 // must come from a leader that was asked late enough.
 func TestBoundedReadAwaitsSample(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		r.must(r.proxy.Open("strict"), VerbRead, "READ 1")
-		r.servers[primaryID].set(func(s *server) { s.log.Offset = 20 })
+		r.servers[primaryID].update(func(s *server) { s.log.Offset = 20 })
 		s := r.proxy.Open("bounded")
 		r.must(s, VerbRead, "READ 2")
 		assert.DeepEqual(t, r.texts(nearID), []string{"READ 2"})
-		// The sample at offset 10 is too old now, and the replica lacks the new one.
+		// The sample at offset 10 is too old now, and the replica lacks the new position.
 		time.Sleep(1600 * time.Millisecond)
 		r.must(s, VerbRead, "READ 3")
 		assert.DeepEqual(t, r.texts(nearID), []string{"READ 2"})
@@ -50,12 +50,12 @@
 	})
 }
 
-// Guards against a VM that was suspended and takes an old sample for a recent one, since its
-// monotonic clock stood still.
-func TestSuspensionAgesSamples(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+// Guards against an old sample that counts as recent because the monotonic clock stopped while the VM
+// was suspended.
+func TestSuspensionCountsTowardsSampleAge(t *testing.T) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		r.must(r.proxy.Open("strict"), VerbRead, "READ 1")
-		r.servers[primaryID].set(func(s *server) { s.log.Offset = 20 })
+		r.servers[primaryID].update(func(s *server) { s.log.Offset = 20 })
 		r.suspended.Store(int64(10 * time.Second))
 		r.must(r.proxy.Open("bounded"), VerbRead, "READ 2")
 		assert.Equal(t, len(r.texts(nearID)), 0)
@@ -63,53 +63,53 @@
 	})
 }
 
-// Guards against a session that doesn't see its own commit on a replica that lags.
-func TestOwnWrites(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+// Guards against a session that doesn't see its own commit on a lagging replica.
+func TestReadYourOwnWrites(t *testing.T) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		s := r.proxy.Open("own")
 		r.must(s, VerbWrite, "WRITE 1 x")
 		r.must(s, VerbRead, "READ 1")
 		assert.DeepEqual(t, r.texts(primaryID), []string{"WRITE 1 x", "READ 1"})
-		r.servers[nearID].set(func(s *server) { s.log.Offset = 11 })
-		time.Sleep(2 * lagMemory)
+		r.servers[nearID].update(func(s *server) { s.log.Offset = 11 })
+		time.Sleep(2 * lagBackoff)
 		r.must(s, VerbRead, "READ 2")
 		assert.DeepEqual(t, r.texts(nearID), []string{"READ 2"})
 	})
 }
 
-// Guards against running a write twice, and against calling one "not run" that may have run.
+// Guards against running a write twice, and against reporting it as not run when it may have run.
 func TestLostWriteIsInDoubt(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
-		r.servers[primaryID].set(func(s *server) { s.broken = true })
+	inBubble(t, func(t *testing.T, r *harness) {
+		r.servers[primaryID].update(func(s *server) { s.broken = true })
 		reply := r.do(r.proxy.Open("own"), VerbWrite, "WRITE 1 x")
 		assert.Equal(t, reply.Fault, core.FaultInDoubt)
 		assert.DeepEqual(t, r.texts(primaryID), []string{"WRITE 1 x"})
 	})
 }
 
-// Guards against giving up a write that an upstream was too busy to run.
-func TestBusyWriteIsRepeated(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
-		r.servers[primaryID].set(func(s *server) { s.busy = 2 })
+// Guards against failing a write that an upstream was too busy to run.
+func TestBusyWriteIsRetried(t *testing.T) {
+	inBubble(t, func(t *testing.T, r *harness) {
+		r.servers[primaryID].update(func(s *server) { s.busy = 2 })
 		r.must(r.proxy.Open("own"), VerbWrite, "WRITE 1 x")
 		assert.DeepEqual(t, r.texts(primaryID), []string{"WRITE 1 x"})
 	})
 }
 
-// Guards against waiting out the statement's time for a read whose answer is lost.
-func TestLostReadIsTriedElsewhere(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+// Guards against a read with a lost answer that waits until its deadline.
+func TestUnansweredReadIsRetriedElsewhere(t *testing.T) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		r.must(r.proxy.Open("strict"), VerbRead, "READ 0")
-		r.servers[nearID].set(func(s *server) { s.silent = true })
+		r.servers[nearID].update(func(s *server) { s.silent = true })
 		began := time.Now()
 		r.must(r.proxy.Open("bounded"), VerbRead, "READ 1")
 		assert.Assert(t, time.Since(began) < 400*time.Millisecond, "took %v", time.Since(began))
 	})
 }
 
-// Guards against session values of one caller that reach the statement of another.
-func TestValuesFollowTheSession(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+// Guards against running a statement with the session values of another session.
+func TestSessionValuesAreIsolated(t *testing.T) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		a, b, c := r.proxy.Open("own"), r.proxy.Open("own"), r.proxy.Open("own")
 		a.Execute(t.Context(), &Statement{ID: "1", Verb: VerbSet, Name: "zone", Arg: "a"})
 		b.Execute(t.Context(), &Statement{ID: "1", Verb: VerbSet, Name: "lang", Arg: "b"})
@@ -124,9 +124,9 @@
 	})
 }
 
-// Guards against a prepared name that runs the shape of another caller who chose the same name.
+// Guards against running the prepared statement of another session with the same name.
 func TestPreparedNamesCollide(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		a, b := r.proxy.Open("own"), r.proxy.Open("own")
 		for s, text := range map[*Session]string{a: "shape-a", b: "shape-b"} {
 			s.Execute(t.Context(), &Statement{ID: "1", Verb: VerbPrepare, Name: "s1", Arg: text, Write: true})
@@ -142,9 +142,9 @@
 }
 
 // Guards against a transaction whose statements run on several connections or outside of it, and
-// against other sessions that run inside it.
-func TestTransactionOwnsItsConnection(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+// against statements of other sessions inside it.
+func TestTransactionHasItsOwnConnection(t *testing.T) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		a, b := r.proxy.Open("own"), r.proxy.Open("own")
 		r.must(a, VerbBegin, "BEGIN")
 		r.must(a, VerbWrite, "WRITE a1")
@@ -168,38 +168,38 @@
 	})
 }
 
-// Guards against promising "not kept" for a COMMIT that was sent, and against in-doubt answers for a
-// transaction that certainly isn't kept.
-func TestLostTransaction(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+// Guards against reporting a transaction as rolled back after its COMMIT was sent, and as in doubt when
+// it is certainly rolled back.
+func TestTransactionOnLostConnection(t *testing.T) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		s := r.proxy.Open("own")
 		r.must(s, VerbBegin, "BEGIN")
 		r.must(s, VerbWrite, "WRITE 1")
-		r.servers[primaryID].set(func(s *server) { s.broken = true })
+		r.servers[primaryID].update(func(s *server) { s.broken = true })
 		reply := r.do(s, VerbWrite, "WRITE 2")
 		assert.Equal(t, reply.Fault, core.FaultAborted)
 		assert.Equal(t, reply.Status, core.TxFailed)
 		assert.Equal(t, r.do(s, VerbRead, "READ 1").Fault, core.FaultMalformed)
 		assert.Equal(t, r.must(s, VerbRollback, "ROLLBACK").Status, core.TxIdle)
 
-		r.servers[primaryID].set(func(s *server) { s.broken = false })
+		r.servers[primaryID].update(func(s *server) { s.broken = false })
 		r.must(s, VerbBegin, "BEGIN")
 		r.must(s, VerbWrite, "WRITE 3")
-		r.servers[primaryID].set(func(s *server) { s.broken = true })
+		r.servers[primaryID].update(func(s *server) { s.broken = true })
 		reply = r.do(s, VerbCommit, "COMMIT")
 		assert.Equal(t, reply.Fault, core.FaultInDoubt)
 		assert.Equal(t, reply.Status, core.TxIdle)
 	})
 }
 
-// Guards against idle transactions that hold connections which others need: clients rest inside
+// Guards against idle transactions that hold connections which others need. Clients do pause inside
 // transactions.
 func TestAbortedTransaction(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		s := r.proxy.Open("own")
 		assert.Equal(t, s.TxIdle(), time.Duration(0))
 		r.must(s, VerbBegin, "BEGIN")
-		assert.Equal(t, s.TxIdle(), time.Duration(0), "nothing is held yet")
+		assert.Equal(t, s.TxIdle(), time.Duration(0), "the transaction must not hold a connection yet")
 		r.must(s, VerbWrite, "WRITE 1")
 		assert.Equal(t, s.TxIdle(), time.Second)
 		s.Abort("idle")
@@ -211,10 +211,10 @@
 	})
 }
 
-// Guards against holding statements back when a group has been without a primary for so long that
-// waiting is in vain, and against refusing those that a promotion would serve in time.
+// Guards against delaying statements when a group has been without a primary for too long to expect
+// one, and against refusing statements that a promotion would serve in time.
 func TestOutage(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		demote := func(role core.Role) {
 			u := r.dir.Snapshot().Upstreams[primaryID]
 			u.Role = role
@@ -239,9 +239,10 @@
 	})
 }
 
-// Guards against a dropped route that is still served, and a missing one that is refused otherwise.
+// Guards against serving a route that was dropped, and against another fault than FaultNoDatabase for a
+// missing route.
 func TestRouteChanges(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		s := r.proxy.Open("own")
 		r.must(s, VerbWrite, "WRITE 1")
 		assert.Equal(t, r.proxy.Admit(t.Context(), "gone"), core.FaultNoDatabase)
@@ -254,9 +255,9 @@
 	})
 }
 
-// Guards against an owner that runs a statement although its BEGIN was refused.
-func TestRelayGuards(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+// Guards against an owner that runs a statement after its BEGIN was refused.
+func TestRelayRunsNothingAfterRefusedBegin(t *testing.T) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		relay, _, ok := r.proxy.OpenRelay(nearID)
 		assert.Assert(t, ok)
 		deadline := time.Now().Add(time.Second)
@@ -270,9 +271,10 @@
 	})
 }
 
-// Guards against a relay that answers "not kept" for a COMMIT whose connection broke.
+// Guards against a relay that reports a transaction as rolled back when the connection failed at
+// COMMIT.
 func TestRelayLostCommit(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		relay, _, _ := r.proxy.OpenRelay(primaryID)
 		deadline := time.Now().Add(time.Second)
 		for _, c := range []core.Command{
@@ -280,22 +282,22 @@
 		} {
 			assert.Equal(t, relay.Execute(t.Context(), c, deadline).Fault, core.FaultNone)
 		}
-		r.servers[primaryID].set(func(s *server) { s.broken = true })
+		r.servers[primaryID].update(func(s *server) { s.broken = true })
 		ans := relay.Execute(t.Context(), core.Command{Op: core.OpCaller, ID: "2", Text: "COMMIT", Kind: "own", Commit: true}, deadline)
 		assert.Equal(t, ans.Fault, core.FaultInDoubt)
 	})
 }
 
 // Guards against statements that go to a silent old primary until its entry expires, although another
-// upstream proved that it leads: hoangphat-seals trouble-1, 12 s to 18 s. The new primary's position shows
-// its term only with its first commit, and the old one's log is longer.
+// upstream proved that it leads. The term of the new primary shows only with its first commit, and the
+// log of the old one is longer.
 func TestNewPrimaryBeforeItsFirstCommit(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		s := r.proxy.Open("own")
 		r.must(s, VerbWrite, "WRITE 1")
-		r.servers[primaryID].set(func(s *server) { s.silent, s.leads = true, false })
-		r.servers[nearID].set(func(s *server) { s.leads = true })
-		time.Sleep(failAfterSilence)
+		r.servers[primaryID].update(func(s *server) { s.silent, s.leads = true, false })
+		r.servers[nearID].update(func(s *server) { s.leads = true })
+		time.Sleep(silenceTime)
 		at, err := r.proxy.Probe(t.Context(), nearID)
 		assert.NilError(t, err)
 		assert.Assert(t, at.Leads)
@@ -304,17 +306,17 @@
 	})
 }
 
-// failAfterSilence is less than the time in which a silent primary is replaced.
-const failAfterSilence = 500 * time.Millisecond
+// silenceTime is shorter than the time after which a silent primary is replaced.
+const silenceTime = 500 * time.Millisecond
 
 // Guards against a session that stays in a failed transaction after its COMMIT was refused: callers
-// close a session that an operation leaves outside of the idle state.
+// close a session that isn't idle after an operation.
 func TestRefusedCommitEndsTransaction(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		s := r.proxy.Open("own")
 		r.must(s, VerbBegin, "BEGIN")
 		r.must(s, VerbWrite, "WRITE 1")
-		r.servers[primaryID].set(func(s *server) { s.busy = 1000 })
+		r.servers[primaryID].update(func(s *server) { s.busy = 1000 })
 		reply := r.do(s, VerbCommit, "COMMIT")
 		assert.Equal(t, reply.Fault, core.FaultBusy)
 		assert.Equal(t, reply.Status, core.TxIdle)
@@ -322,14 +324,14 @@
 	})
 }
 
-// Guards against work that a leaving primary still gets after a few seconds, when no other has taken over:
-// the platform takes the upstream away 7 s after it said so.
+// Guards against sending work to a leaving primary after a few seconds without a successor: the
+// platform stops the upstream 7 s after it announced that it leaves.
 func TestLeavingPrimaryGetsNoWorkLater(t *testing.T) {
-	inBubble(t, func(t *testing.T, r *rig) {
+	inBubble(t, func(t *testing.T, r *harness) {
 		u := r.dir.Snapshot().Upstreams[primaryID]
 		u.Leaving = true
 		r.dir.Put(u)
-		time.Sleep(leavingTime - time.Second)
+		time.Sleep(leavingGrace - time.Second)
 		r.must(r.proxy.Open("strict"), VerbRead, "READ 1")
 		time.Sleep(time.Second)
 		ran := len(r.texts(primaryID))
@@ -338,6 +340,6 @@
 			assert.Assert(t, reply.Fault.NotRun(), "%v", reply.Fault)
 		}
 		assert.Equal(t, len(r.texts(primaryID)), ran)
-		assert.Assert(t, leavingTime < 7*time.Second)
+		assert.Assert(t, leavingGrace < 7*time.Second)
 	})
 }
--- a/core/proxy/tx.go
+++ b/core/proxy/tx.go
@@ -12,37 +12,36 @@
 type tx struct {
 	readOnly bool
 	failed   bool
-	// aborted is the reason to report to the next statement.
+	// aborted is the reason that the next statement reports.
 	aborted string
-	held    *held
+	held    *heldConn
 	wrote   bool
 }
 
-// rollback ends the transaction's part on the upstream.
+// rollback rolls the transaction back on the upstream and releases its connection.
 func (s *Session) rollback() {
 	if s.tx == nil || s.tx.held == nil {
 		return
 	}
 	h := s.tx.held
 	s.tx.held = nil
-	h.recycle(core.TxOpen, core.FaultNone)
+	h.rollbackAndFree(core.TxOpen, core.FaultNone)
 }
 
-// runTx runs a statement of the open transaction.
 func (s *Session) runTx(ctx context.Context, w *work) Reply {
 	if w.write && s.tx.readOnly {
 		return s.failTx(w, Reply{Fault: core.FaultReadOnly, Text: "the transaction is read-only"})
 	}
 	if s.tx.held == nil {
-		if r := s.bind(ctx, w); r != nil {
+		if r := s.beginTx(ctx, w); r != nil {
 			return s.failTx(w, *r)
 		}
 	} else if r := s.readmit(ctx, w); r != nil {
 		return s.failTx(w, *r)
 	}
 	for {
-		reply, retry := s.statement(w)
-		if !retry || !s.retryIn(ctx, w, retryPause) {
+		reply, retry := s.sendInTx(w)
+		if !retry || !s.waitForRetry(ctx, w, retryDelay) {
 			if s.tx != nil && s.tx.held != nil {
 				s.tx.held.releaseSlot(reply.Fault == core.FaultNone)
 			}
@@ -75,70 +74,69 @@
 	})
 }
 
-// bind opens the transaction on an upstream before its first statement.
-func (s *Session) bind(ctx context.Context, w *work) *Reply {
+// beginTx opens the transaction on an upstream before its first statement.
+func (s *Session) beginTx(ctx context.Context, w *work) *Reply {
 	for {
-		t, ok := s.placeTx(ctx, w)
+		t, ok := s.chooseTxTarget(ctx, w)
 		if !ok {
-			w.last = Reply{Fault: core.FaultBusy, Text: "the group has no primary now"}
+			w.lastReply = Reply{Fault: core.FaultBusy, Text: "the group has no primary now"}
 			if !s.awaitPrimary(ctx, w) {
-				return &w.last
+				return &w.lastReply
 			}
 			continue
 		}
-		refused := s.open(ctx, w, t)
+		refused := s.beginOn(ctx, w, t)
 		if refused == nil {
 			return nil
 		}
-		w.last = *refused
+		w.lastReply = *refused
 		if refused.overloaded && t.strict {
-			return &w.last
+			return &w.lastReply
 		}
 		w.tried = append(w.tried, t.node)
 		pause := time.Duration(0)
 		if !s.tx.readOnly || t.strict {
-			pause = 5 * retryPause
+			pause = 5 * retryDelay
 		}
-		if !s.retryIn(ctx, w, pause) {
-			return &w.last
+		if !s.waitForRetry(ctx, w, pause) {
+			return &w.lastReply
 		}
 	}
 }
 
-// placeTx chooses the upstream of a transaction.
-func (s *Session) placeTx(ctx context.Context, w *work) (target, bool) {
+func (s *Session) chooseTxTarget(ctx context.Context, w *work) (target, bool) {
 	if !s.tx.readOnly {
 		n := w.group.primary(time.Now())
 		return target{node: n, strict: true}, n != nil
 	}
-	if w.seen == 0 {
-		w.seen = s.p.cfg.Now()
+	if w.receivedAt == 0 {
+		w.receivedAt = s.p.cfg.Now()
 	}
-	return s.place(ctx, w, false)
+	return s.chooseTarget(ctx, w, false)
 }
 
-// open takes a connection and opens the transaction on it. A transaction on a replica awaits its
-// position; one that must be strict is opened as a plain one, which only a leading primary does.
-func (s *Session) open(ctx context.Context, w *work, t target) *Reply {
+// beginOn takes a connection and opens the transaction on it. A strict transaction is opened with a
+// plain BEGIN, which only a leading primary accepts; any other one awaits its position.
+func (s *Session) beginOn(ctx context.Context, w *work, t target) *Reply {
 	h, refused := s.acquire(ctx, w, t.node, true)
 	if refused != nil {
 		return refused
 	}
 	asked := s.p.cfg.Now()
-	cmds := h.handle.Value.align(s, nil)
+	cmds := h.handle.Value.setUpCommands(s, nil)
 	if t.strict {
-		cmds = append(cmds, w.stamp(core.Command{Op: core.OpBegin}))
+		cmds = append(cmds, w.withQueueing(core.Command{Op: core.OpBegin}))
 	} else {
-		cmds = append(cmds, w.stamp(core.Command{Op: core.OpBeginRead, Await: t.await}))
+		cmds = append(cmds, w.withQueueing(core.Command{Op: core.OpBeginRead, Await: t.await}))
 	}
-	ans, err := h.setUp(cmds, w.deadline)
+	ans, err := h.roundTrip(cmds, w.deadline)
 	if err != nil {
 		t.node.noteFailure(h.handle.Value)
-		h.drop()
+		h.discard()
 		return &Reply{Fault: core.FaultBusy, Text: "the upstream doesn't answer"}
 	}
 	if ans.Fault != core.FaultNone {
-		h.recycle(ans.Status, ans.Fault)
+		h.rollbackAndFree(ans.Status, ans.Fault)
 		switch ans.Fault {
 		case core.FaultReadOnly:
 			t.node.noteDenied()
@@ -148,23 +146,23 @@
 		return &Reply{Fault: core.FaultBusy, Text: "the upstream refused the transaction: " + ans.Fault.String()}
 	}
 	if t.strict {
-		t.node.lead(asked, ans.Position)
+		t.node.noteLeads(asked, ans.Position)
 	}
 	s.tx.held = h
 	return nil
 }
 
-// statement sends the work on the transaction's connection. It reports whether the upstream was busy
-// and the statement may be sent again.
-func (s *Session) statement(w *work) (Reply, bool) {
+// sendInTx sends the statement on the transaction's connection. It reports whether the upstream was
+// busy and the statement may be sent again.
+func (s *Session) sendInTx(w *work) (Reply, bool) {
 	h := s.tx.held
 	c := h.handle.Value
-	cmds := append(c.align(s, w.shape), w.command(core.Position{}))
+	cmds := append(c.setUpCommands(s, w.prepared), w.command(core.Position{}))
 	sent := time.Now()
 	ans, err := h.exchange(cmds, w.deadline)
 	if err != nil {
 		h.node.noteFailure(h.handle.Value)
-		h.drop()
+		h.discard()
 		s.tx.held = nil
 		if w.st.Verb == VerbCommit {
 			s.tx = nil
@@ -178,7 +176,7 @@
 		return Reply{Fault: ans.Fault, Text: ans.Text}, true
 	}
 	if ans.Fault != core.FaultNone {
-		return s.txFault(w, ans), false
+		return s.handleTxFault(w, ans), false
 	}
 	s.body = append(s.body[:0], ans.Body...)
 	reply := Reply{Body: s.body, Position: ans.Position}
@@ -195,8 +193,7 @@
 	return reply, false
 }
 
-// txFault handles an upstream's error inside the transaction.
-func (s *Session) txFault(w *work, ans core.Answer) Reply {
+func (s *Session) handleTxFault(w *work, ans core.Answer) Reply {
 	h := s.tx.held
 	if ans.Fault == core.FaultReadOnly && !s.tx.readOnly {
 		h.node.noteDenied()
@@ -210,9 +207,9 @@
 	return reply
 }
 
-// exchange sends the commands and returns the answer to the last one. An error of one before it is
-// reported as a lost connection, since the last one may have run in the wrong state.
-func (h *held) exchange(cmds []core.Command, deadline time.Time) (core.Answer, error) {
+// exchange sends the commands and returns the answer to the last one. A fault of an earlier one counts
+// as a failed connection, since the last one may have run in the wrong session state.
+func (h *heldConn) exchange(cmds []core.Command, deadline time.Time) (core.Answer, error) {
 	c := h.handle.Value
 	if err := c.Send(cmds); err != nil {
 		return core.Answer{}, err
--- a/core/proxy/work.go
+++ b/core/proxy/work.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	// outageHold is how long a group may have been without a primary while statements still wait for
-	// the next one. A promotion usually takes less than this; after it they are refused at once.
-	outageHold = 3 * time.Second
-	// retryPause is the wait before another try when the first one failed at once.
-	retryPause = 10 * time.Millisecond
-	// hedgeFactor and hedgeLeast say when the answer to a read counts as lost, as a multiple of the
-	// usual answer time and at least.
-	hedgeFactor = 5
-	hedgeLeast  = 150 * time.Millisecond
-	// indexTime limits a read index: a few round trips between regions.
-	indexTime = 150 * time.Millisecond
-	// startShare is the part of a statement's time in which it has to get a slot.
-	startShare = 0.45
-	// maxTries limits the upstreams that are tried for one statement.
+	// maxOutageWait is how long a group may have been without a primary while statements still wait for
+	// the next one. A promotion usually takes less; after this time they are refused immediately.
+	maxOutageWait = 3 * time.Second
+	// retryDelay is the wait before a retry if the first try failed immediately.
+	retryDelay = 10 * time.Millisecond
+	// hedgeLatencyFactor and minHedgeDelay define when a read is retried on another upstream: after
+	// this multiple of the average latency, but not before the minimum.
+	hedgeLatencyFactor = 5
+	minHedgeDelay      = 150 * time.Millisecond
+	// readIndexTimeout limits a read index request: a few round trips between regions.
+	readIndexTimeout = 150 * time.Millisecond
+	// startTimeShare is the share of the statement timeout in which a statement has to get a slot.
+	startTimeShare = 0.45
+	// maxTries limits the immediate retries of one statement.
 	maxTries = 6
-	// endTime limits the answer to ROLLBACK and similar statements that take no slot.
-	endTime = time.Second
+	// rollbackTimeout limits the wait for the answer to ROLLBACK, which takes no slot.
+	rollbackTimeout = time.Second
 )
 
-// work is one statement on its way to an upstream.
+// work is the execution of one statement.
 type work struct {
 	st    *Statement
 	route topo.Route
 	group *group
-	// shape is the prepared statement of an EXECUTE.
-	shape *shape
-	write bool
-	// seen is the instant after the request was read; reads only.
-	seen     core.Instant
-	began    time.Time
-	deadline time.Time
-	// startBy is until when the statement may wait for a slot and a connection. Beyond about half of
-	// its time the caller is served better by trying another VM than by waiting here.
+	// prepared is the prepared statement of an EXECUTE.
+	prepared *preparedStmt
+	write    bool
+	// receivedAt is an instant after the statement was received; set for reads only.
+	receivedAt core.Instant
+	began      time.Time
+	deadline   time.Time
+	// startBy is until when the statement may wait for a slot and a connection. After about half of its
+	// time, another VM serves the caller better than waiting here.
 	startBy time.Time
-	// tried are upstreams that failed the statement.
+	// tried are the upstreams on which the statement failed.
 	tried []*node
 	tries int
-	// indexed tells that the primary was asked for its position.
-	indexed bool
-	// last is why the last try failed.
-	last Reply
+	// askedReadIndex tells that the primary was asked for its position.
+	askedReadIndex bool
+	// lastReply is the result of the last failed try.
+	lastReply Reply
 }
 
 // newWork looks up what the statement needs, or returns the fault that ends it.
@@ -64,39 +64,39 @@
 		return nil, &Reply{Fault: core.FaultNoDatabase, Text: "no such database"}
 	}
 	w := &work{st: st, route: route, group: s.p.group(route.Group), began: began, deadline: began.Add(route.StatementTimeout)}
-	w.startBy = began.Add(time.Duration(startShare * float64(route.StatementTimeout)))
+	w.startBy = began.Add(time.Duration(startTimeShare * float64(route.StatementTimeout)))
 	w.write = st.Verb == VerbWrite
 	if st.Verb == VerbExecute {
-		sh, ok := s.prepared[st.Name]
+		ps, ok := s.prepared[st.Name]
 		if !ok {
 			return nil, &Reply{Fault: core.FaultUnprepared, Text: "no such prepared statement"}
 		}
-		w.shape, w.write = &sh, sh.write
+		w.prepared, w.write = &ps, ps.write
 	}
 	if !w.write {
-		w.seen = s.p.cfg.Now()
+		w.receivedAt = s.p.cfg.Now()
 	}
 	s.p.budget.Deposit()
 	return w, nil
 }
 
-// command returns the statement for an upstream.
+// command returns the statement as a command for the upstream.
 func (w *work) command(await core.Position) core.Command {
-	c := w.stamp(core.Command{Op: core.OpCaller, ID: w.st.ID, Text: w.st.Text, Await: await, Commit: w.st.Verb == VerbCommit})
-	if w.shape != nil {
-		c.Op, c.Name, c.Text = core.OpExecute, w.shape.name(), w.st.Arg
+	c := w.withQueueing(core.Command{Op: core.OpCaller, ID: w.st.ID, Text: w.st.Text, Await: await, Commit: w.st.Verb == VerbCommit})
+	if w.prepared != nil {
+		c.Op, c.Name, c.Text = core.OpExecute, w.prepared.name(), w.st.Arg
 	}
 	return c
 }
 
-// stamp adds what an owner needs to queue the command.
-func (w *work) stamp(c core.Command) core.Command {
+// withQueueing adds what an owner needs to queue the command.
+func (w *work) withQueueing(c core.Command) core.Command {
 	c.Kind, c.Rank = core.Kind(w.route.Database), w.route.Rank
 	c.StartBy, c.Deadline = w.startBy, w.deadline
 	return c
 }
 
-// target is where a statement is sent and what it has to prove there.
+// target is the upstream for a statement and what it has to prove.
 type target struct {
 	node *node
 	// strict asks for a proof of leadership before the statement runs.
@@ -104,28 +104,28 @@
 	await  core.Position
 }
 
-// place chooses the upstream. It returns false if none can serve the statement now.
-func (s *Session) place(ctx context.Context, w *work, strict bool) (target, bool) {
+// chooseTarget chooses the upstream. It returns false if none can serve the statement now.
+func (s *Session) chooseTarget(ctx context.Context, w *work, strict bool) (target, bool) {
 	now := time.Now()
 	primary := w.group.primary(now)
 	if w.write || strict || w.route.Reads == topo.Strict {
 		return target{node: primary, strict: !w.write}, primary != nil
 	}
-	await, ok := w.group.fresh.MinPosition(w.seen.Add(-w.route.MaxAge))
-	if !ok && !w.indexed && primary != nil {
-		w.indexed = true
+	await, ok := w.group.fresh.MinPosition(w.receivedAt.Add(-w.route.MaxAge))
+	if !ok && !w.askedReadIndex && primary != nil {
+		w.askedReadIndex = true
 		await, ok = s.readIndex(ctx, primary)
 	}
-	if !ok || (s.strictOwn && w.route.Reads == topo.OwnWrites) {
+	if !ok || (s.lastCommitUnknown && w.route.Reads == topo.OwnWrites) {
 		return target{node: primary, strict: true}, primary != nil
 	}
-	if w.route.Reads == topo.OwnWrites && await.Less(s.own) {
-		await = s.own
+	if w.route.Reads == topo.OwnWrites && await.Less(s.lastCommit) {
+		await = s.lastCommit
 	}
-	if n := w.replica(now, await); n != nil {
+	if n := w.cheapestUntried(now, await); n != nil {
 		return target{node: n, await: await}, true
 	}
-	// No upstream has the position, or none that has it answers: the primary always has it.
+	// No upstream that answers has the position. The primary always has it.
 	w.tried = nil
 	return target{node: primary, strict: true}, primary != nil
 }
@@ -133,12 +133,12 @@
 // readIndex asks the primary for its position, which takes no slot, so that the read can run on a
 // replica.
 func (s *Session) readIndex(ctx context.Context, primary *node) (core.Position, bool) {
-	at, err := primary.ask(ctx, time.Now().Add(indexTime))
+	at, err := primary.probePooled(ctx, time.Now().Add(readIndexTimeout))
 	return at.Log, err == nil && at.Leads
 }
 
-// replica returns the upstream with the earliest expected answer of those that weren't tried, or nil.
-func (w *work) replica(now time.Time, await core.Position) *node {
+// cheapestUntried returns the node with the lowest estimated cost that was not tried yet, or nil.
+func (w *work) cheapestUntried(now time.Time, await core.Position) *node {
 	nodes := *w.group.nodes.Load()
 	var cands []candidate
 	var from []*node
@@ -146,7 +146,7 @@
 		if slices.Contains(w.tried, n) || n.info.Load().Leaving {
 			continue
 		}
-		cands, from = append(cands, n.view(now, await)), append(from, n)
+		cands, from = append(cands, n.asCandidate(now, await)), append(from, n)
 	}
 	if i := cheapest(cands); i >= 0 {
 		return from[i]
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// retryIn waits for another try and reports whether there is time for one.
-func (s *Session) retryIn(ctx context.Context, w *work, pause time.Duration) bool {
+// waitForRetry waits before a retry and reports whether there is time for one.
+func (s *Session) waitForRetry(ctx context.Context, w *work, pause time.Duration) bool {
 	w.tries++
 	if w.tries > maxTries && pause == 0 {
 		return false
@@ -179,17 +179,17 @@
 	return true
 }
 
-// reserve is the part of the statement's time that is kept for running it.
-func (w *work) reserve() time.Duration { return w.route.StatementTimeout / 8 }
+// runReserve is the part of the statement timeout that is kept for running the statement.
+func (w *work) runReserve() time.Duration { return w.route.StatementTimeout / 8 }
 
-// awaitPrimary waits for a primary, unless the group has been without one for so long that the wait
-// is likely to be in vain.
+// awaitPrimary waits for a change such as a new primary, unless the group has been without one for
+// longer than maxOutageWait.
 func (s *Session) awaitPrimary(ctx context.Context, w *work) bool {
-	if w.group.outage(time.Now()) > outageHold {
+	if w.group.noteOutage(time.Now()) > maxOutageWait {
 		return false
 	}
 	changed := s.p.Changed()
-	left := time.Until(w.deadline) - w.reserve()
+	left := time.Until(w.deadline) - w.runReserve()
 	if left <= 0 {
 		return false
 	}
@@ -202,50 +202,49 @@
 		return false
 	case <-changed:
 	}
-	// The statement waited for the group, not in a queue.
-	w.startBy = w.deadline.Add(-w.reserve())
+	// The wait was for a primary, not for a slot, so the limit for slots is extended.
+	w.startBy = w.deadline.Add(-w.runReserve())
 	return true
 }
 
-// held is a connection with a slot of its upstream's queue.
-type held struct {
+// heldConn is a connection with a slot of its upstream's queue.
+type heldConn struct {
 	node   *node
 	handle *pool.Handle[*conn]
 	slot   *queue.Slot
-	// opens tells that the queue counts an open transaction.
-	opens bool
+	// opensTx tells that the queue counts an open transaction for it.
+	opensTx bool
 }
 
 // getter takes a connection, waiting at most until the deadline.
 type getter func(ctx context.Context, deadline time.Time) (*pool.Handle[*conn], error)
 
-// acquire takes a slot and then a connection.
-func (s *Session) acquire(ctx context.Context, w *work, n *node, opens bool) (*held, *Reply) {
-	it := &queue.Item{Kind: core.Kind(s.database), Rank: w.route.Rank, OpensTx: opens, Deadline: w.startBy}
+func (s *Session) acquire(ctx context.Context, w *work, n *node, opensTx bool) (*heldConn, *Reply) {
+	it := &queue.Item{Kind: core.Kind(s.database), Rank: w.route.Rank, OpensTx: opensTx, Deadline: w.startBy}
 	return n.acquire(ctx, it, n.get)
 }
 
-// acquire takes a slot and then a connection, both until the item's deadline.
-func (n *node) acquire(ctx context.Context, it *queue.Item, get getter) (*held, *Reply) {
-	h := &held{node: n}
+// acquire takes a slot and then a connection, waiting at most until the item's deadline.
+func (n *node) acquire(ctx context.Context, it *queue.Item, get getter) (*heldConn, *Reply) {
+	h := &heldConn{node: n}
 	if refused := h.admit(ctx, it); refused != nil {
 		return nil, refused
 	}
-	h.opens = it.OpensTx
+	h.opensTx = it.OpensTx
 	var err error
 	if h.handle, err = get(ctx, it.Deadline); err == nil {
 		return h, nil
 	}
 	h.releaseSlot(false)
 	h.endTx()
-	if atLimit(err) {
+	if isAtLimit(err) {
 		return nil, &Reply{Fault: core.FaultOverload, Text: "the upstream is at its connection limit"}
 	}
 	return nil, &Reply{Fault: core.FaultBusy, Text: "no connection to the upstream in time"}
 }
 
 // admit takes a slot of the upstream's queue.
-func (h *held) admit(ctx context.Context, it *queue.Item) *Reply {
+func (h *heldConn) admit(ctx context.Context, it *queue.Item) *Reply {
 	n := h.node
 	n.pending.Add(1)
 	slot, err := n.queue.Acquire(ctx, it)
@@ -259,7 +258,7 @@
 	return nil
 }
 
-// refusalText tells a caller when to come back.
+// refusalText tells a caller when to retry.
 func refusalText(err error) string {
 	var refusal *queue.Refusal
 	if !errors.As(err, &refusal) {
@@ -271,7 +270,7 @@
 	return refusal.Reason + "; retry after " + refusal.RetryAfter.Round(time.Millisecond).String()
 }
 
-func (h *held) releaseSlot(ran bool) {
+func (h *heldConn) releaseSlot(ran bool) {
 	if h.slot == nil {
 		return
 	}
@@ -280,71 +279,71 @@
 	h.node.pending.Add(-1)
 }
 
-func (h *held) endTx() {
-	if h.opens {
+func (h *heldConn) endTx() {
+	if h.opensTx {
 		h.node.queue.EndTx()
-		h.opens = false
+		h.opensTx = false
 	}
 }
 
-// free returns the connection and the slot.
-func (h *held) free(ran bool) {
+// free releases the slot and returns the connection to its pool.
+func (h *heldConn) free(ran bool) {
 	h.releaseSlot(ran)
 	h.endTx()
 	put(h.handle)
 }
 
-// isUnserved reports whether another VM refused the statement since it has no connection. The next one
-// asks somebody else.
-func (h *held) isUnserved(fault core.Fault) bool {
+// isRelayRefusal reports whether another VM refused the statement because it has no connection. The
+// next statement must use another VM.
+func (h *heldConn) isRelayRefusal(fault core.Fault) bool {
 	return fault == core.FaultOverload && h.handle.Value.owner != ""
 }
 
-// settle frees what the answered statement held.
-func (h *held) settle(fault core.Fault) {
-	if h.isUnserved(fault) {
-		h.drop()
+// freeAfter releases the slot and the connection after an answer with the fault.
+func (h *heldConn) freeAfter(fault core.Fault) {
+	if h.isRelayRefusal(fault) {
+		h.discard()
 		return
 	}
 	h.free(fault == core.FaultNone)
 }
 
-// recycle returns a connection whose BEGIN was refused. It ends a transaction that failed that way.
-func (h *held) recycle(status core.TxStatus, fault core.Fault) {
-	if h.isUnserved(fault) {
-		h.drop()
+// rollbackAndFree releases the slot and the connection after a refused BEGIN or for a transaction to
+// roll back. It sends ROLLBACK unless the connection is idle.
+func (h *heldConn) rollbackAndFree(status core.TxStatus, fault core.Fault) {
+	if h.isRelayRefusal(fault) {
+		h.discard()
 		return
 	}
 	if status != core.TxIdle {
-		if _, err := h.setUp([]core.Command{{Op: core.OpRollback}}, time.Now().Add(endTime)); err != nil {
-			h.drop()
+		if _, err := h.roundTrip([]core.Command{{Op: core.OpRollback}}, time.Now().Add(rollbackTimeout)); err != nil {
+			h.discard()
 			return
 		}
 	}
 	h.free(false)
 }
 
-// drop closes the connection, which rolls back what is open on it.
-func (h *held) drop() {
+// discard releases the slot and closes the connection, which rolls an open transaction back.
+func (h *heldConn) discard() {
 	h.releaseSlot(false)
 	h.endTx()
 	h.handle.Discard()
 }
 
-// setUp sends the commands and reads their answers. It returns the first fault.
-func (h *held) setUp(cmds []core.Command, deadline time.Time) (core.Answer, error) {
-	return setUp(h.handle.Value, cmds, deadline)
+// roundTrip sends the commands and reads all answers. It returns the first fault.
+func (h *heldConn) roundTrip(cmds []core.Command, deadline time.Time) (core.Answer, error) {
+	return roundTrip(h.handle.Value, cmds, deadline)
 }
 
-func setUp(c *conn, cmds []core.Command, deadline time.Time) (core.Answer, error) {
+func roundTrip(c *conn, cmds []core.Command, deadline time.Time) (core.Answer, error) {
 	if err := c.Send(cmds); err != nil {
 		return core.Answer{}, err
 	}
 	return receive(c, len(cmds), deadline)
 }
 
-// receive reads n answers and returns the first with a fault, otherwise the last that tells a
-// position.
+// receive reads n answers and returns the first with a fault, otherwise the last with a position.
 func receive(c *conn, n int, deadline time.Time) (core.Answer, error) {
 	var out core.Answer
 	for range n {
