--- a/core/lead/detect.go
+++ b/core/lead/detect.go
@@ -47,11 +47,11 @@
 	Primary core.UpstreamID
 	// Leaving tells that the primary is about to be taken away.
 	Leaving bool
-	// Duty tells that this VM watches the primary all the time. Others do only once it is Suspect:
+	// IsMonitor tells that this VM watches the primary all the time. Others do only once it is Suspect:
 	// statements got no answer from it, or it denied to lead.
-	Duty, Suspect bool
-	// ProvedAt is when a primary last proved its leadership.
-	ProvedAt time.Time
+	IsMonitor, Suspect bool
+	// PrimaryConfirmedAt is when a primary last proved its leadership.
+	PrimaryConfirmedAt time.Time
 	// Replicas may take over, nearest first.
 	Replicas []core.UpstreamID
 	// Members is the number of the group's upstreams, leaving ones included.
@@ -78,7 +78,7 @@
 		d.primary, d.failures = g.Primary, 0
 	}
 	wait := time.Duration(0)
-	if !g.Duty {
+	if !g.IsMonitor {
 		wait = othersAfter
 	}
 	if g.Primary == "" {
@@ -90,15 +90,15 @@
 	}
 	d.leavingAt = time.Time{}
 	if d.failures >= failAfter && now.Sub(d.failedAt) >= d.failTime(now)+wait {
-		if g.ProvedAt.After(d.failedAt) {
+		if g.PrimaryConfirmedAt.After(d.failedAt) {
 			d.failures = 0
 			return Wait
 		}
 		d.reason = "the primary doesn't answer"
 		return Replace
 	}
-	watched := g.Duty || g.Suspect
-	if d.probing || !watched || now.Sub(g.ProvedAt) < probeAfter {
+	watched := g.IsMonitor || g.Suspect
+	if d.probing || !watched || now.Sub(g.PrimaryConfirmedAt) < probeAfter {
 		return Wait
 	}
 	d.probing = true
--- a/core/lead/driver.go
+++ b/core/lead/driver.go
@@ -48,17 +48,17 @@
 	Refresh(ctx context.Context) error
 	// Probe asks the upstream whether it leads and for the end of its log. An error means that it
 	// didn't answer, ErrNotAsked that it couldn't be asked.
-	Probe(ctx context.Context, id core.UpstreamID) (Standing, error)
+	Probe(ctx context.Context, id core.UpstreamID) (ProbeResult, error)
 }
 
-// Standing is an upstream's place in its group.
-type Standing struct {
+// ProbeResult is an upstream's place in its group.
+type ProbeResult struct {
 	Leads bool
 	Log   core.Position
 }
 
-// ErrNotAsked says that a probe had no connection, which tells nothing about the upstream.
-var ErrNotAsked = errors.New("no connection for the probe")
+// ErrProbeNotSent says that a probe had no connection, which tells nothing about the upstream.
+var ErrProbeNotSent = errors.New("no connection for the probe")
 
 // Config configures a Driver.
 type Config struct {
@@ -168,7 +168,7 @@
 		ctx, cancel := context.WithTimeout(ctx, probeTime)
 		defer cancel()
 		at, err := d.cfg.Cluster.Probe(ctx, g.Primary)
-		failed := (err == nil && !at.Leads) || (err != nil && !errors.Is(err, ErrNotAsked))
+		failed := (err == nil && !at.Leads) || (err != nil && !errors.Is(err, ErrProbeNotSent))
 		if failed {
 			level.Info(d.cfg.Log).Log("Msg", "probe of the primary failed", "Group", g.ID, "Upstream", g.Primary, "Leads", at.Leads, "Err", err)
 		}
@@ -319,12 +319,12 @@
 
 // best returns the replica with the newest log among those that answer, or the one that leads. Unless
 // minority is set, most of the group must answer; a primary that is leaving counts as one that does.
-func (d *Driver) best(ctx context.Context, g Group, minority bool) (core.UpstreamID, Standing, error) {
+func (d *Driver) best(ctx context.Context, g Group, minority bool) (core.UpstreamID, ProbeResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTime)
 	defer cancel()
 	type result struct {
 		index int
-		at    Standing
+		at    ProbeResult
 		err   error
 	}
 	results := make(chan result, len(g.Replicas))
@@ -338,7 +338,7 @@
 	if g.Leaving {
 		answers++
 	}
-	var best Standing
+	var best ProbeResult
 	for range g.Replicas {
 		r := <-results
 		if r.err != nil || best.Leads {
--- a/core/lead/driver_test.go
+++ b/core/lead/driver_test.go
@@ -19,7 +19,7 @@
 	mu sync.Mutex
 	// view is what the VM believes, truth what the store holds.
 	view, truth Group
-	standing    map[core.UpstreamID]Standing
+	standing    map[core.UpstreamID]ProbeResult
 	silent      map[core.UpstreamID]bool
 	// storeDown makes the store's calls fail; leaseHeld makes the lease belong to somebody else.
 	storeDown, leaseHeld bool
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func (w *world) Probe(ctx context.Context, id core.UpstreamID) (Standing, error) {
+func (w *world) Probe(ctx context.Context, id core.UpstreamID) (ProbeResult, error) {
 	w.mu.Lock()
 	silent, at := w.silent[id], w.standing[id]
 	if at.Leads && !silent && id != w.view.Primary && w.foundAt.IsZero() {
@@ -69,7 +69,7 @@
 	w.mu.Unlock()
 	if silent {
 		<-ctx.Done()
-		return Standing{}, ctx.Err()
+		return ProbeResult{}, ctx.Err()
 	}
 	return at, nil
 }
@@ -88,9 +88,9 @@
 
 // lead makes the upstream the primary. The caller holds mu.
 func (w *world) lead(id core.UpstreamID) {
-	g := Group{ID: "g", Primary: id, Members: 3, Duty: true}
+	g := Group{ID: "g", Primary: id, Members: 3, IsMonitor: true}
 	for other, at := range w.standing {
-		w.standing[other] = Standing{Leads: other == id, Log: at.Log}
+		w.standing[other] = ProbeResult{Leads: other == id, Log: at.Log}
 		if other != id {
 			g.Replicas = append(g.Replicas, other)
 		}
@@ -145,10 +145,10 @@
 func (w *world) VMs(context.Context) ([]core.VM, error)        { return nil, nil }
 
 func newWorld() *world {
-	g := Group{ID: "g", Primary: "a", Replicas: []core.UpstreamID{"b", "c"}, Members: 3, Duty: true}
+	g := Group{ID: "g", Primary: "a", Replicas: []core.UpstreamID{"b", "c"}, Members: 3, IsMonitor: true}
 	return &world{
 		view: g, truth: g, version: 10, silent: map[core.UpstreamID]bool{},
-		standing: map[core.UpstreamID]Standing{
+		standing: map[core.UpstreamID]ProbeResult{
 			"a": {Leads: true, Log: core.Position{Term: 1, Offset: 9}},
 			"b": {Log: core.Position{Term: 1, Offset: 7}},
 			"c": {Log: core.Position{Term: 1, Offset: 8}},
@@ -197,16 +197,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld()
 		w.storeDown = true
-		w.view = Group{ID: "g", Replicas: []core.UpstreamID{"a", "b", "c"}, Members: 3, Duty: true}
-		w.truth = Group{ID: "g", Primary: "c", Replicas: []core.UpstreamID{"a", "b"}, Members: 3, Duty: true}
-		w.standing["a"] = Standing{Log: core.Position{Term: 1, Offset: 9}}
+		w.view = Group{ID: "g", Replicas: []core.UpstreamID{"a", "b", "c"}, Members: 3, IsMonitor: true}
+		w.truth = Group{ID: "g", Primary: "c", Replicas: []core.UpstreamID{"a", "b"}, Members: 3, IsMonitor: true}
+		w.standing["a"] = ProbeResult{Log: core.Position{Term: 1, Offset: 9}}
 		w.silent["c"], w.silent["b"] = true, true
 		go func() {
 			time.Sleep(8 * time.Second)
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			w.storeDown = false
-			w.standing["c"] = Standing{Leads: true, Log: core.Position{Term: 2, Offset: 99}}
+			w.standing["c"] = ProbeResult{Leads: true, Log: core.Position{Term: 2, Offset: 99}}
 			// The connection to c isn't back in the moment of the change.
 			time.AfterFunc(600*time.Millisecond, func() {
 				w.mu.Lock()
@@ -223,7 +223,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld()
 		w.silent["a"] = true
-		w.standing["b"] = Standing{Leads: true, Log: core.Position{Term: 2, Offset: 8}}
+		w.standing["b"] = ProbeResult{Leads: true, Log: core.Position{Term: 2, Offset: 8}}
 		assert.Equal(t, len(w.run(t, 3*time.Second)), 0)
 	})
 }
@@ -263,8 +263,8 @@
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			w.silent["c"], w.silent["a"] = true, false
-			w.standing["a"] = Standing{Log: core.Position{Term: 1, Offset: 9}}
-			w.standing["b"] = Standing{Log: core.Position{Term: 1, Offset: 10}}
+			w.standing["a"] = ProbeResult{Log: core.Position{Term: 1, Offset: 9}}
+			w.standing["b"] = ProbeResult{Log: core.Position{Term: 1, Offset: 10}}
 		}()
 		got := w.run(t, 10*time.Second)
 		targets := map[core.Version]core.UpstreamID{}
@@ -294,7 +294,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld()
 		w.silent["a"] = true
-		w.standing["b"] = Standing{Leads: true, Log: core.Position{Term: 2, Offset: 8}}
+		w.standing["b"] = ProbeResult{Leads: true, Log: core.Position{Term: 2, Offset: 8}}
 		w.storeDown, w.slow = true, 1500*time.Millisecond
 		began := time.Now()
 		assert.Equal(t, len(w.run(t, 3*time.Second)), 0)
@@ -309,7 +309,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := newWorld()
 			w.silent["a"] = !leaving
-			w.view.Duty, w.truth.Duty = false, false
+			w.view.IsMonitor, w.truth.IsMonitor = false, false
 			w.view.Suspect, w.truth.Suspect = true, true
 			w.view.Leaving, w.truth.Leaving = leaving, leaving
 			assert.Equal(t, len(w.run(t, othersAfter)), 0)
--- a/core/peers/list.go
+++ b/core/peers/list.go
@@ -42,7 +42,7 @@
 	slow := max(minSlowListTime, slowListStep*time.Duration(len(p.Alive())))
 	slow = slow/2 + rand.N(slow)
 	for ctx.Err() == nil {
-		sleep(ctx, p.cfg.ListTime)
+		sleep(ctx, p.cfg.ListInterval)
 		if time.Since(last) >= slow || p.isLister() {
 			return
 		}
--- a/core/peers/peers.go
+++ b/core/peers/peers.go
@@ -67,14 +67,14 @@
 	Platform Platform
 	// Table is the operators' table; nil means none.
 	Table Table
-	// Interval is the time between two pings, 500 ms if 0.
-	Interval time.Duration
+	// PingInterval is the time between two pings, 500 ms if 0.
+	PingInterval time.Duration
 	// PingTimeout limits a ping, 250 ms if 0.
 	PingTimeout time.Duration
 	// RetryTime is the time between two tries of a dead member or candidate, 2 s if 0.
 	RetryTime time.Duration
-	// ListTime is the time between two polls of the platform's list by those that poll often, 2 s if 0.
-	ListTime time.Duration
+	// ListInterval is the time between two polls of the platform's list by those that poll often, 2 s if 0.
+	ListInterval time.Duration
 	// ForgetTime is how long dead members are tried again, 3 h if 0.
 	ForgetTime time.Duration
 	// Logger is for changes of the membership; nil means none.
@@ -87,10 +87,10 @@
 			*d = value
 		}
 	}
-	set(&cfg.Interval, defaultInterval)
+	set(&cfg.PingInterval, defaultInterval)
 	set(&cfg.PingTimeout, defaultPingTimeout)
 	set(&cfg.RetryTime, defaultRetryTime)
-	set(&cfg.ListTime, defaultListTime)
+	set(&cfg.ListInterval, defaultListTime)
 	set(&cfg.ForgetTime, defaultForgetTime)
 	if cfg.Logger == nil {
 		cfg.Logger = log.NewNopLogger()
@@ -204,7 +204,7 @@
 func (p *Peers) Run(ctx context.Context) error {
 	p.start(func() { p.runList(ctx) })
 	defer p.stop()
-	ticker := time.NewTicker(p.cfg.Interval)
+	ticker := time.NewTicker(p.cfg.PingInterval)
 	defer ticker.Stop()
 	c := clockwork{sync: time.Now().Add(p.syncTime())}
 	p.tick(ctx, &c)
@@ -295,7 +295,7 @@
 // suspicionTime grows with the logarithm of the fleet, since a refutation takes that long to spread.
 func (p *Peers) suspicionTime() time.Duration {
 	n := float64(p.state.size() + 1)
-	return time.Duration(suspicionFactor * max(1, math.Log10(n)) * float64(p.cfg.Interval))
+	return time.Duration(suspicionFactor * max(1, math.Log10(n)) * float64(p.cfg.PingInterval))
 }
 
 // Leave tells other members at once that this one is leaving. It keeps answering afterwards.
--- a/core/proxy/cluster.go
+++ b/core/proxy/cluster.go
@@ -37,13 +37,13 @@
 }
 
 func (p *Proxy) state(now time.Time, g *group, nodes []*node) lead.Group {
-	st := lead.Group{ID: g.id, Members: len(nodes), Duty: p.isWatcher(g.id)}
+	st := lead.Group{ID: g.id, Members: len(nodes), IsMonitor: p.isWatcher(g.id)}
 	if n := g.primary(now); n != nil {
 		u := n.info.Load()
 		st.Primary, st.Leaving = u.ID, u.Leaving
 		g.mu.Lock()
 		if g.provedBy == u.ID {
-			st.ProvedAt = g.provedAt
+			st.PrimaryConfirmedAt = g.provedAt
 		}
 		g.mu.Unlock()
 		n.mu.Lock()
@@ -79,12 +79,12 @@
 }
 
 // Probe implements lead.Cluster. Opening and ending a transaction takes no slot of the upstream.
-func (p *Proxy) Probe(ctx context.Context, id core.UpstreamID) (lead.Standing, error) {
+func (p *Proxy) Probe(ctx context.Context, id core.UpstreamID) (lead.ProbeResult, error) {
 	p.mu.Lock()
 	n, ok := p.nodes[id]
 	p.mu.Unlock()
 	if !ok {
-		return lead.Standing{}, lead.ErrNotAsked
+		return lead.ProbeResult{}, lead.ErrProbeNotSent
 	}
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -95,7 +95,7 @@
 
 // probe asks on an idle connection if there is one, otherwise on a new one, and soon through other VMs
 // as well: this VM may be cut off from an upstream that works.
-func (n *node) probe(ctx context.Context, deadline time.Time) (lead.Standing, error) {
+func (n *node) probe(ctx context.Context, deadline time.Time) (lead.ProbeResult, error) {
 	first, _ := n.ways()
 	if handle, ok := n.tryGet(first); ok {
 		if at, err := n.askOn(handle, time.Now().Add(time.Until(deadline)/3)); err == nil {
@@ -103,11 +103,11 @@
 		}
 	}
 	type result struct {
-		at  lead.Standing
+		at  lead.ProbeResult
 		err error
 	}
 	results := make(chan result, 2)
-	ask := func(how func(context.Context, time.Time) (lead.Standing, error)) {
+	ask := func(how func(context.Context, time.Time) (lead.ProbeResult, error)) {
 		n.p.spawn(func() {
 			at, err := how(ctx, deadline)
 			results <- result{at, err}
@@ -130,15 +130,15 @@
 			askOthers()
 			// An upstream that refused the question was alive to do so. Others that can't ask say
 			// nothing of it.
-			if failure == nil || errors.Is(r.err, lead.ErrNotAsked) || isUnasked(failure) {
+			if failure == nil || errors.Is(r.err, lead.ErrProbeNotSent) || isUnasked(failure) {
 				failure = r.err
 			}
 		}
 	}
 	if isUnasked(failure) {
-		failure = lead.ErrNotAsked
+		failure = lead.ErrProbeNotSent
 	}
-	return lead.Standing{}, failure
+	return lead.ProbeResult{}, failure
 }
 
 // isUnasked reports whether a probe failed before it was sent, on this VM or on another one.
@@ -147,28 +147,28 @@
 }
 
 // probeThroughOthers asks on a connection through another VM.
-func (n *node) probeThroughOthers(ctx context.Context, deadline time.Time) (lead.Standing, error) {
+func (n *node) probeThroughOthers(ctx context.Context, deadline time.Time) (lead.ProbeResult, error) {
 	return n.askFrom(ctx, n.hops, deadline)
 }
 
 // ask waits for a pooled connection and asks on it.
-func (n *node) ask(ctx context.Context, deadline time.Time) (lead.Standing, error) {
+func (n *node) ask(ctx context.Context, deadline time.Time) (lead.ProbeResult, error) {
 	handle, err := n.get(ctx, deadline)
 	if err != nil {
-		return lead.Standing{}, err
+		return lead.ProbeResult{}, err
 	}
 	return n.askOn(handle, deadline)
 }
 
-func (n *node) askFrom(ctx context.Context, p *pool.Pool[*conn], deadline time.Time) (lead.Standing, error) {
+func (n *node) askFrom(ctx context.Context, p *pool.Pool[*conn], deadline time.Time) (lead.ProbeResult, error) {
 	handle, err := n.getFrom(ctx, p, deadline)
 	if err != nil {
-		return lead.Standing{}, err
+		return lead.ProbeResult{}, err
 	}
 	return n.askOn(handle, deadline)
 }
 
-func (n *node) askOn(handle *pool.Handle[*conn], deadline time.Time) (lead.Standing, error) {
+func (n *node) askOn(handle *pool.Handle[*conn], deadline time.Time) (lead.ProbeResult, error) {
 	h := &held{node: n, handle: handle}
 	at, err := n.standing(h.handle.Value, deadline)
 	if err != nil {
@@ -182,46 +182,46 @@
 
 // probeDirectly asks on a new connection, since pooled ones may be silent. If the upstream accepts none,
 // it asks on a pooled one: busy replicas have to be heard before a primary is replaced.
-func (n *node) probeDirectly(ctx context.Context, deadline time.Time) (lead.Standing, error) {
+func (n *node) probeDirectly(ctx context.Context, deadline time.Time) (lead.ProbeResult, error) {
 	lc, err := n.p.cfg.Dialer.Dial(ctx, n.info.Load().UpstreamInfo)
 	if atLimit(err) {
 		at, err := n.askFrom(ctx, n.direct, deadline)
 		if err != nil {
-			return lead.Standing{}, lead.ErrNotAsked
+			return lead.ProbeResult{}, lead.ErrProbeNotSent
 		}
 		return at, nil
 	}
 	if err != nil {
-		return lead.Standing{}, err
+		return lead.ProbeResult{}, err
 	}
 	defer func() { _ = lc.Close() }()
 	return n.standing(&conn{LineConn: lc}, deadline)
 }
 
 // standing asks on the connection whether the upstream leads.
-func (n *node) standing(c *conn, deadline time.Time) (lead.Standing, error) {
+func (n *node) standing(c *conn, deadline time.Time) (lead.ProbeResult, error) {
 	asked := n.p.cfg.Now()
 	if err := c.Send([]core.Command{{Op: core.OpBegin}, {Op: core.OpRollback}}); err != nil {
-		return lead.Standing{}, err
+		return lead.ProbeResult{}, err
 	}
 	ans, err := c.Receive(deadline)
 	if err != nil {
-		return lead.Standing{}, err
+		return lead.ProbeResult{}, err
 	}
 	if _, err := c.Receive(deadline); err != nil {
-		return lead.Standing{}, err
+		return lead.ProbeResult{}, err
 	}
 	n.notePosition(ans.Position)
 	switch ans.Fault {
 	case core.FaultNone:
 		n.lead(asked, ans.Position)
-		return lead.Standing{Leads: true, Log: ans.Position}, nil
+		return lead.ProbeResult{Leads: true, Log: ans.Position}, nil
 	case core.FaultReadOnly:
 		n.noteDenied()
 		n.p.logDecision("upstream doesn't lead", "Upstream", n.id(), "Position", ans.Position, "Status", string(ans.Status))
-		return lead.Standing{Log: ans.Position}, nil
+		return lead.ProbeResult{Log: ans.Position}, nil
 	case core.FaultOverload, core.FaultBusy:
-		return lead.Standing{}, lead.ErrNotAsked
+		return lead.ProbeResult{}, lead.ErrProbeNotSent
 	}
-	return lead.Standing{}, core.ErrUpstream.New("probe: %s", ans.Fault)
+	return lead.ProbeResult{}, core.ErrUpstream.New("probe: %s", ans.Fault)
 }
--- a/core/proxy/fake_test.go
+++ b/core/proxy/fake_test.go
@@ -222,7 +222,7 @@
 		Routes: map[string]topo.Route{
 			"strict":  testRoute("strict", topo.Strict, 0),
 			"bounded": testRoute("bounded", topo.Bounded, 1500*time.Millisecond),
-			"own":     testRoute("own", topo.OwnWrites, 2500*time.Millisecond),
+			"own":     testRoute("own", topo.ReadYourWrites, 2500*time.Millisecond),
 		},
 		Groups: map[core.GroupID]topo.Group{"g": {ID: "g", Connections: 20}},
 	})
--- a/core/proxy/load_test.go
+++ b/core/proxy/load_test.go
@@ -368,6 +368,6 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		defer cancel()
 		_, err := r.proxy.Probe(ctx, primaryID)
-		assert.Assert(t, errors.Is(err, lead.ErrNotAsked), "%v", err)
+		assert.Assert(t, errors.Is(err, lead.ErrProbeNotSent), "%v", err)
 	})
 }
--- a/core/proxy/work.go
+++ b/core/proxy/work.go
@@ -116,10 +116,10 @@
 		w.indexed = true
 		await, ok = s.readIndex(ctx, primary)
 	}
-	if !ok || (s.strictOwn && w.route.Reads == topo.OwnWrites) {
+	if !ok || (s.strictOwn && w.route.Reads == topo.ReadYourWrites) {
 		return target{node: primary, strict: true}, primary != nil
 	}
-	if w.route.Reads == topo.OwnWrites && await.Less(s.own) {
+	if w.route.Reads == topo.ReadYourWrites && await.Less(s.own) {
 		await = s.own
 	}
 	if n := w.replica(now, await); n != nil {
--- a/core/topo/topo.go
+++ b/core/topo/topo.go
@@ -37,8 +37,8 @@
 	Strict Consistency = iota
 	// Bounded reads may miss commits that were acknowledged within the route's MaxAge.
 	Bounded
-	// OwnWrites reads are like bounded ones and see all commits of their own session.
-	OwnWrites
+	// ReadYourWrites reads are like bounded ones and see all commits of their own session.
+	ReadYourWrites
 )
 
 // Route says how the work for one database is served.
--- a/server/members.go
+++ b/server/members.go
@@ -19,7 +19,7 @@
 	}
 	p.members, err = peers.New(peers.Config{
 		Self: p.self(), Seeds: s.Peers.Seeds, Transport: ctrl.NewClient(ctrl.ClientConfig{}),
-		Platform: p.store, Table: p.table, Interval: s.Peers.PingInterval, ListTime: s.Platform.ListInterval,
+		Platform: p.store, Table: p.table, PingInterval: s.Peers.PingInterval, ListInterval: s.Platform.ListInterval,
 		Logger: log.With(p.cfg.Log, "Service", "peers"),
 	})
 	if err != nil {
