--- a/core/core_test.go
+++ b/core/core_test.go
@@ -60,7 +60,7 @@
 
 // Guards against a process that goes on half alive after one of its services failed.
 func TestKernelStopsAllOnFailure(t *testing.T) {
-	k := NewKernel()
+	k := NewRegistry()
 	failure := errors.New("listener closed")
 	assert.NilError(t, k.Register(funcService{"fails", func(context.Context) error { return failure }}))
 	assert.NilError(t, k.Register(funcService{"waits", func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }}))
--- a/core/errors.go
+++ b/core/errors.go
@@ -108,8 +108,8 @@
 // It is called before the first write.
 func (a *Attempt) MarkSent() { a.sent.Store(true) }
 
-// Sent reports whether MarkSent was called.
-func (a *Attempt) Sent() bool { return a.sent.Load() }
+// IsSent reports whether MarkSent was called.
+func (a *Attempt) IsSent() bool { return a.sent.Load() }
 
 // Refuse builds the error of a request that ends here: NotRunError if nothing was sent, otherwise
 // UnknownOutcomeError.
--- a/core/kernel.go
+++ b/core/kernel.go
@@ -20,20 +20,20 @@
 	Dump() any
 }
 
-// Kernel is the registry of a process's services.
-type Kernel struct {
+// Registry is the registry of a process's services.
+type Registry struct {
 	mu       sync.RWMutex
 	services map[string]Service
 	order    []string
 }
 
-// NewKernel returns an empty registry.
-func NewKernel() *Kernel {
-	return &Kernel{services: make(map[string]Service)}
+// NewRegistry returns an empty registry.
+func NewRegistry() *Registry {
+	return &Registry{services: make(map[string]Service)}
 }
 
 // Register adds a service. The name must be new.
-func (k *Kernel) Register(s Service) error {
+func (k *Registry) Register(s Service) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if _, ok := k.services[s.Name()]; ok {
@@ -45,7 +45,7 @@
 }
 
 // Find returns the service of the name as a T.
-func Find[T any](k *Kernel, name string) (T, error) {
+func Find[T any](k *Registry, name string) (T, error) {
 	var zero T
 	k.mu.RLock()
 	s, ok := k.services[name]
@@ -67,7 +67,7 @@
 }
 
 // Run starts all services and waits for all of them. The first failure stops the others.
-func (k *Kernel) Run(ctx context.Context) error {
+func (k *Registry) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	k.mu.RLock()
@@ -90,7 +90,7 @@
 }
 
 // Dump returns the state of each service that is a Dumper, by name.
-func (k *Kernel) Dump() map[string]any {
+func (k *Registry) Dump() map[string]any {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	dump := make(map[string]any, len(k.services))
--- a/core/line.go
+++ b/core/line.go
@@ -48,8 +48,8 @@
 // String returns the name of the fault for logs and metrics.
 func (f Fault) String() string { return faultNames[f] }
 
-// NotRun reports whether an upstream that answers with the fault has not run the statement.
-func (f Fault) NotRun() bool {
+// IsNotRun reports whether an upstream that answers with the fault has not run the statement.
+func (f Fault) IsNotRun() bool {
 	switch f {
 	case FaultBusy, FaultOverload, FaultLagging, FaultReadOnly, FaultMisrouted, FaultUnprepared:
 		return true
--- a/core/owner/owner_test.go
+++ b/core/owner/owner_test.go
@@ -84,7 +84,7 @@
 		var redirect *core.RedirectError
 		assert.Assert(t, errors.As(err, &redirect), "%v", err)
 		assert.Equal(t, redirect.Primary, core.UpstreamID(""))
-		assert.Assert(t, !req.Attempt.Sent())
+		assert.Assert(t, !req.Attempt.IsSent())
 		assert.Equal(t, len(c.received()), 0)
 		assert.Equal(t, f.view.suspects, 1)
 	})
--- a/core/owner/serve.go
+++ b/core/owner/serve.go
@@ -15,7 +15,7 @@
 	for {
 		res, err := o.attempt(ctx, path, req, a)
 		var redirect *core.RedirectError
-		if errors.As(err, &redirect) && req.Attempt.Sent() {
+		if errors.As(err, &redirect) && req.Attempt.IsSent() {
 			// A redirect says that nothing ran, but an earlier try was sent.
 			return res, req.Attempt.Refuse(core.StateUnavailable, redirect.Error(), 0)
 		}
--- a/core/proxy/history_test.go
+++ b/core/proxy/history_test.go
@@ -151,7 +151,7 @@
 		h.report("%s ran %d times", text, runs)
 	case reply.Fault == core.FaultNone && runs == 0:
 		h.report("%s was acknowledged and didn't run", text)
-	case reply.Fault.NotRun() && runs > 0:
+	case reply.Fault.IsNotRun() && runs > 0:
 		h.report("%s was refused as %s and ran", text, reply.Fault)
 	}
 	if reply.Fault == core.FaultNone {
--- a/core/proxy/load_test.go
+++ b/core/proxy/load_test.go
@@ -300,7 +300,7 @@
 		began := time.Now()
 		cmd := core.Command{Op: core.OpCaller, ID: "q", Text: "WRITE 2", Kind: "own", StartBy: began.Add(200 * time.Millisecond)}
 		ans := relay.Execute(t.Context(), cmd, began.Add(600*time.Millisecond))
-		assert.Assert(t, ans.Fault.NotRun(), "%v", ans.Fault)
+		assert.Assert(t, ans.Fault.IsNotRun(), "%v", ans.Fault)
 		assert.Assert(t, time.Since(began) <= 250*time.Millisecond, "refused after %v", time.Since(began))
 	})
 }
--- a/core/proxy/session_test.go
+++ b/core/proxy/session_test.go
@@ -335,7 +335,7 @@
 		ran := len(r.texts(primaryID))
 		for range 20 {
 			reply := r.do(r.proxy.Open("own"), VerbWrite, "WRITE 1")
-			assert.Assert(t, reply.Fault.NotRun(), "%v", reply.Fault)
+			assert.Assert(t, reply.Fault.IsNotRun(), "%v", reply.Fault)
 		}
 		assert.Equal(t, len(r.texts(primaryID)), ran)
 		assert.Assert(t, leavingTime < 7*time.Second)
--- a/core/proxy/single.go
+++ b/core/proxy/single.go
@@ -268,7 +268,7 @@
 		}
 		return reply, done
 	}
-	if !reply.Fault.NotRun() {
+	if !reply.Fault.IsNotRun() {
 		return reply, done
 	}
 	w.tried = append(w.tried, n)
--- a/core/route/choose.go
+++ b/core/route/choose.go
@@ -118,7 +118,7 @@
 			continue
 		}
 		res, err := t.router.cfg.Remote(vm, info.ID).Execute(ctx, t.req, t.out)
-		if err == nil || t.req.Attempt.Sent() || isTyped(err) {
+		if err == nil || t.req.Attempt.IsSent() || isTyped(err) {
 			return res, err
 		}
 		t.router.penalize(vm.ID)
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -183,7 +183,7 @@
 		return false, "", err
 	case ctx.Err() != nil:
 		return false, "", t.req.Attempt.Refuse(core.StateUnavailable, "the request's time is over", 0)
-	case t.req.Attempt.Sent() && !t.mayRepeat():
+	case t.req.Attempt.IsSent() && !t.mayRepeat():
 		if !errors.As(err, &unknown) {
 			err = &core.UnknownOutcomeError{Reason: err.Error()}
 		}
--- a/core/stmt/classify_test.go
+++ b/core/stmt/classify_test.go
@@ -155,7 +155,7 @@
 	for _, a := range texts {
 		for _, b := range texts {
 			for _, c := range texts {
-				joined := Info{}.Then(Classify(a)).Then(Classify(b)).Then(Classify(c))
+				joined := Info{}.Append(Classify(a)).Append(Classify(b)).Append(Classify(c))
 				assert.DeepEqual(t, joined, Classify(a+";"+b+";"+c))
 			}
 		}
--- a/core/stmt/info.go
+++ b/core/stmt/info.go
@@ -27,8 +27,8 @@
 	Unsupported *UnsupportedError
 }
 
-// Then returns the info of a text or batch that continues with next.
-func (i Info) Then(next Info) Info {
+// Append returns the info of a text or batch that continues with next.
+func (i Info) Append(next Info) Info {
 	if i.Ends && next.Begins {
 		i.refuse(errTwoTransactions)
 	}
--- a/core/table/keeper.go
+++ b/core/table/keeper.go
@@ -39,8 +39,8 @@
 	Announce()
 }
 
-// KeeperConfig sets up a Keeper.
-type KeeperConfig struct {
+// CacheConfig sets up a Keeper.
+type CacheConfig struct {
 	Store core.Store
 	// Key is the table's key in the store, DefaultKey if empty.
 	Key string
@@ -55,10 +55,10 @@
 	Logger log.Logger
 }
 
-// Keeper holds the version in force on this entry VM. It implements core.Policies and is the core
+// Cache holds the version in force on this entry VM. It implements core.Policies and is the core
 // service "table". Lookups take no lock.
-type Keeper struct {
-	cfg     KeeperConfig
+type Cache struct {
+	cfg     CacheConfig
 	current atomic.Pointer[inForce]
 
 	// reporting serializes callbacks, so that they see versions that only grow.
@@ -80,13 +80,13 @@
 }
 
 var (
-	_ core.Policies = (*Keeper)(nil)
-	_ core.Service  = (*Keeper)(nil)
-	_ core.Dumper   = (*Keeper)(nil)
+	_ core.Policies = (*Cache)(nil)
+	_ core.Service  = (*Cache)(nil)
+	_ core.Dumper   = (*Cache)(nil)
 )
 
-// NewKeeper returns a Keeper without a table.
-func NewKeeper(cfg KeeperConfig) *Keeper {
+// NewCache returns a Keeper without a table.
+func NewCache(cfg CacheConfig) *Cache {
 	if cfg.Key == "" {
 		cfg.Key = DefaultKey
 	}
@@ -102,14 +102,14 @@
 	if cfg.Logger == nil {
 		cfg.Logger = log.NewNopLogger()
 	}
-	k := &Keeper{cfg: cfg}
+	k := &Cache{cfg: cfg}
 	k.current.Store(&inForce{record: &record{table: newTable(nil)}})
 	return k
 }
 
-// Join gives the Keeper the other entry VMs. It must be called before Run. Without it, the Keeper
+// SetPeers gives the Keeper the other entry VMs. It must be called before Run. Without it, the Keeper
 // watches the store and asks nobody.
-func (k *Keeper) Join(p Peers) {
+func (k *Cache) SetPeers(p Peers) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.peers = p
@@ -117,38 +117,38 @@
 
 // OnChange registers a function that is called after each adoption with the version in force. It
 // must return quickly and must not call Adopt.
-func (k *Keeper) OnChange(f func(core.Version)) {
+func (k *Cache) OnChange(f func(core.Version)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.callbacks = append(k.callbacks, f)
 }
 
 // Policy implements core.Policies.
-func (k *Keeper) Policy(kind core.Kind) (core.KindPolicy, bool) {
+func (k *Cache) Policy(kind core.Kind) (core.KindPolicy, bool) {
 	return k.current.Load().record.table.Policy(kind)
 }
 
 // Kinds implements core.Policies.
-func (k *Keeper) Kinds() []core.KindPolicy { return k.current.Load().record.table.Kinds() }
+func (k *Cache) Kinds() []core.KindPolicy { return k.current.Load().record.table.Kinds() }
 
 // Version returns the version in force, or 0 without a table.
-func (k *Keeper) Version() core.Version { return k.current.Load().record.Version }
+func (k *Cache) Version() core.Version { return k.current.Load().record.Version }
 
 // Checkout returns the table in force.
-func (k *Keeper) Checkout() Checkout {
+func (k *Cache) Checkout() Checkout {
 	r := k.current.Load().record
 	return Checkout{Version: r.Version, Edit: r.Edit, Table: r.table}
 }
 
 // Encoded returns the version in force as Adopt reads it, or nil without a table.
-func (k *Keeper) Encoded() (core.Version, []byte) {
+func (k *Cache) Encoded() (core.Version, []byte) {
 	cur := k.current.Load()
 	return cur.record.Version, cur.encoded
 }
 
 // Adopt puts the table into force if its version is higher than the one in force, and returns the
 // version that is in force then. A table that isn't valid is an error.
-func (k *Keeper) Adopt(encoded []byte, source string) (core.Version, error) {
+func (k *Cache) Adopt(encoded []byte, source string) (core.Version, error) {
 	r, err := decodeRecord(encoded)
 	if err != nil {
 		return k.Version(), err
@@ -176,7 +176,7 @@
 }
 
 // report tells everybody about a version that was just put into force.
-func (k *Keeper) report(r *record, source string) {
+func (k *Cache) report(r *record, source string) {
 	level.Info(k.cfg.Logger).Log("Msg", "table in force", "Version", r.Version, "Edit", r.Edit, "Rows", len(r.table.Kinds()), "Source", source)
 	k.mu.Lock()
 	callbacks, peers := k.callbacks, k.peers
@@ -193,7 +193,7 @@
 }
 
 // Name implements core.Service.
-func (k *Keeper) Name() string { return "table" }
+func (k *Cache) Name() string { return "table" }
 
 // keeperDump is the state that the admin port shows.
 type keeperDump struct {
@@ -207,7 +207,7 @@
 }
 
 // Dump implements core.Dumper.
-func (k *Keeper) Dump() any {
+func (k *Cache) Dump() any {
 	cur := k.current.Load()
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/core/table/keeper_test.go
+++ b/core/table/keeper_test.go
@@ -80,20 +80,20 @@
 type keepers struct {
 	platform
 	hub  *hub
-	list []*Keeper
-	stop map[*Keeper]func()
+	list []*Cache
+	stop map[*Cache]func()
 }
 
 func newKeepers(t *testing.T, p platform, size int) *keepers {
-	f := &keepers{platform: p, hub: &hub{}, stop: map[*Keeper]func(){}}
+	f := &keepers{platform: p, hub: &hub{}, stop: map[*Cache]func(){}}
 	for i := range size {
 		f.hub.alive = append(f.hub.alive, core.VM{
 			ID: core.VMID(fmt.Sprintf("vm-%03d", i)), FailureDomain: core.FailureDomain(fmt.Sprint(i % 4)),
 		})
 	}
 	for _, vm := range f.hub.alive {
-		k := NewKeeper(KeeperConfig{Store: p.store})
-		k.Join(hubPeers{hub: f.hub, self: vm})
+		k := NewCache(CacheConfig{Store: p.store})
+		k.SetPeers(hubPeers{hub: f.hub, self: vm})
 		ctx, cancel := context.WithCancel(context.Background())
 		end := make(chan error, 1)
 		go func() { end <- k.Run(ctx) }()
@@ -180,7 +180,7 @@
 					if k.Dump().(keeperDump).Watching {
 						f.hub.remove(core.VMID(fmt.Sprintf("vm-%03d", i)))
 						f.stop[k]()
-						f.list = slices.DeleteFunc(f.list, func(other *Keeper) bool { return other == k })
+						f.list = slices.DeleteFunc(f.list, func(other *Cache) bool { return other == k })
 					}
 				}
 				time.Sleep(time.Second)
@@ -220,8 +220,8 @@
 					}
 				}
 			}
-			k := NewKeeper(KeeperConfig{Store: f.store})
-			k.Join(hubPeers{hub: f.hub, self: vm})
+			k := NewCache(CacheConfig{Store: f.store})
+			k.SetPeers(hubPeers{hub: f.hub, self: vm})
 			ctx, cancel := context.WithCancel(t.Context())
 			end := make(chan error, 1)
 			go func() { end <- k.Run(ctx) }()
@@ -238,7 +238,7 @@
 // callbacks that show it.
 func TestKeeperVersionNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		k := NewKeeper(KeeperConfig{})
+		k := NewCache(CacheConfig{})
 		var mu sync.Mutex
 		var seen []core.Version
 		k.OnChange(func(v core.Version) {
@@ -296,7 +296,7 @@
 		assert.Equal(t, k.Version(), core.Version(10))
 		encoded, short := k.Encoded()
 		assert.Equal(t, encoded, core.Version(10))
-		again := NewKeeper(KeeperConfig{})
+		again := NewCache(CacheConfig{})
 		_, err = again.Adopt(short, "peer")
 		assert.NilError(t, err)
 		assert.Assert(t, again.Checkout().Table.Equal(k.Checkout().Table))
@@ -304,7 +304,7 @@
 }
 
 func BenchmarkPolicy(b *testing.B) {
-	k := NewKeeper(KeeperConfig{})
+	k := NewCache(CacheConfig{})
 	_, err := k.Adopt(encodedTable(b, 1, startTable), "test")
 	assert.NilError(b, err)
 	b.ReportAllocs()
--- a/core/table/watch.go
+++ b/core/table/watch.go
@@ -20,7 +20,7 @@
 
 // Run implements core.Service: it loads the table from the store or from peers, whichever answers,
 // and then keeps it current.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Cache) Run(ctx context.Context) error {
 	asked := make(chan struct{})
 	go func() {
 		defer close(asked)
@@ -43,7 +43,7 @@
 
 // askPeers asks the other entry VMs until there is a table, so that an entry VM can start while the
 // platform is down.
-func (k *Keeper) askPeers(ctx context.Context) {
+func (k *Cache) askPeers(ctx context.Context) {
 	peers := k.joined()
 	if peers == nil {
 		return
@@ -62,14 +62,14 @@
 	}
 }
 
-func (k *Keeper) joined() Peers {
+func (k *Cache) joined() Peers {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.peers
 }
 
 // generation returns the number of the membership's state, or 0 without one.
-func (k *Keeper) generation() uint64 {
+func (k *Cache) generation() uint64 {
 	if peers := k.joined(); peers != nil {
 		return peers.Generation()
 	}
@@ -77,7 +77,7 @@
 }
 
 // isWatcher reports whether this entry VM is one of those of its failure domain that hold a watch.
-func (k *Keeper) isWatcher() bool {
+func (k *Cache) isWatcher() bool {
 	peers := k.joined()
 	is := peers == nil || place.IsElected(k.cfg.Key, peers.Self(), peers.Alive(), k.cfg.Watchers)
 	k.mu.Lock()
@@ -87,7 +87,7 @@
 }
 
 // pollTime returns the time between polls of an entry VM without a watch.
-func (k *Keeper) pollTime() time.Duration {
+func (k *Cache) pollTime() time.Duration {
 	d := k.cfg.PollBase
 	if peers := k.joined(); peers != nil {
 		d = max(d, k.cfg.PollStep*time.Duration(len(peers.Alive())))
@@ -95,14 +95,14 @@
 	return d/2 + mathrand.N(d)
 }
 
-func (k *Keeper) setError(err error) {
+func (k *Cache) setError(err error) {
 	level.Warn(k.cfg.Logger).Log("Msg", "table not loaded", "Err", err)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lastError = err.Error()
 }
 
-func (k *Keeper) clearError() {
+func (k *Cache) clearError() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lastError = ""
@@ -110,7 +110,7 @@
 
 // watcher reads the table from the store.
 type watcher struct {
-	keeper *Keeper
+	keeper *Cache
 	// version is the entry's version as it was read last.
 	version core.Version
 	// failures counts the calls that failed in a row.
--- a/io/admin/admin.go
+++ b/io/admin/admin.go
@@ -19,7 +19,7 @@
 // Config configures a Server.
 type Config struct {
 	Listener net.Listener
-	Kernel   *core.Kernel
+	Registry *core.Registry
 	// Metrics serves the metrics in the text format of the scraper.
 	Metrics http.Handler
 	// Status builds the value shown at /status.
@@ -56,7 +56,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { writeText(w, http.StatusOK, "alive") })
 	mux.HandleFunc("GET /readyz", s.readyz)
-	mux.HandleFunc("GET /dump", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.cfg.Kernel.Dump()) })
+	mux.HandleFunc("GET /dump", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.cfg.Registry.Dump()) })
 	if s.cfg.Status != nil {
 		mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.cfg.Status()) })
 	}
--- a/io/ctrl/together_test.go
+++ b/io/ctrl/together_test.go
@@ -32,12 +32,12 @@
 		ends = append(ends, end)
 		go func() { end <- f(ctx) }()
 	}
-	var keepers []*table.Keeper
+	var keepers []*table.Cache
 	var seeds []string
 	start := func(id core.VMID) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
-		k := table.NewKeeper(table.KeeperConfig{Store: s})
+		k := table.NewCache(table.CacheConfig{Store: s})
 		c := NewClient(ClientConfig{})
 		t.Cleanup(func() { assert.Check(t, c.Close()) })
 		p, err := peers.New(peers.Config{
@@ -45,7 +45,7 @@
 			Seeds: seeds, Transport: c, Platform: s, Table: k,
 		})
 		assert.NilError(t, err)
-		k.Join(p)
+		k.SetPeers(p)
 		server := NewServer(ServerConfig{Peers: p})
 		run(func(ctx context.Context) error { return server.Serve(ctx, l) })
 		run(p.Run)
@@ -53,7 +53,7 @@
 		keepers, seeds = append(keepers, k), append(seeds, l.Addr().String())
 	}
 	wait := func(v core.Version) {
-		for start := time.Now(); slices.ContainsFunc(keepers, func(k *table.Keeper) bool { return k.Version() != v }); {
+		for start := time.Now(); slices.ContainsFunc(keepers, func(k *table.Cache) bool { return k.Version() != v }); {
 			assert.Assert(t, time.Since(start) < 10*time.Second, "version %d is not in force everywhere", v)
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/io/dbconn/fault_test.go
+++ b/io/dbconn/fault_test.go
@@ -106,12 +106,12 @@
 					assert.ErrorIs(t, err, tt.want)
 				}
 				assert.Equal(t, rec.String(), "")
-				assert.Assert(t, req.Attempt.Sent())
+				assert.Assert(t, req.Attempt.IsSent())
 				time.Sleep(2 * time.Second)
 				next := simple(core.ClassRead, "SELECT 1")
 				_, err = within(ctx, limit, c, next)
 				assert.ErrorIs(t, err, errUnusable)
-				assert.Assert(t, !next.Attempt.Sent())
+				assert.Assert(t, !next.Attempt.IsSent())
 				assert.NilError(t, srv.Fault(dbsim.FaultLate, "off"))
 				fresh, err := up.Dial(ctx)
 				assert.NilError(t, err)
@@ -193,7 +193,7 @@
 	req := simple(core.ClassWrite, "CREATE TABLE t (id int8)")
 	_, err = c.Run(ctx, req, &recorder{})
 	assert.ErrorIs(t, err, errUnusable)
-	assert.Assert(t, !req.Attempt.Sent())
+	assert.Assert(t, !req.Attempt.IsSent())
 }
 
 // Guards against an acknowledged write whose commit was refused.
@@ -297,7 +297,7 @@
 		req := &core.Request{Messages: msgs, Attempt: &core.Attempt{}}
 		_, err := dial(ctx, t, up).Run(ctx, req, discard{})
 		assert.Assert(t, err != nil)
-		assert.Assert(t, !req.Attempt.Sent())
+		assert.Assert(t, !req.Attempt.IsSent())
 	}
 }
 
--- a/io/front/batch.go
+++ b/io/front/batch.go
@@ -274,7 +274,7 @@
 		if p.st.info.NeedsTx != "" && b.s.tx == nil && !b.unit.info.Begins {
 			return errNeedsTx(p.st.info.NeedsTx)
 		}
-		b.unit.info = b.unit.info.Then(p.st.info)
+		b.unit.info = b.unit.info.Append(p.st.info)
 		if b.unit.info.Unsupported != nil {
 			return b.unit.info.Unsupported
 		}
--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -136,7 +136,7 @@
 				req := newTestRequest(1, "select 1")
 				_, err := exec.Execute(t.Context(), req, &collect{})
 				assert.Assert(t, errors.As(err, tt.want), "got %v", err)
-				assert.Equal(t, req.Attempt.Sent(), tt.sent)
+				assert.Equal(t, req.Attempt.IsSent(), tt.sent)
 			})
 		})
 	}
@@ -169,7 +169,7 @@
 		began := time.Now()
 		req := newTestRequest(1, "select 1")
 		_, err := client.Executor(core.VM{Relay: "vm-2"}, "berth-1").Execute(t.Context(), req, &collect{})
-		assert.Assert(t, err != nil && req.Attempt.Sent())
+		assert.Assert(t, err != nil && req.Attempt.IsSent())
 		assert.Equal(t, time.Since(began), SilenceLimit)
 		assert.Equal(t, client.Dump(), any(ClientState{}))
 	})
--- a/io/relay/server.go
+++ b/io/relay/server.go
@@ -203,7 +203,7 @@
 	}
 	end := &End{Status: res.Status, Position: res.Position, Upstream: res.Upstream, SQL: res.Err}
 	if err != nil {
-		end.Failure = newFailure(err, req.Attempt.Sent())
+		end.Failure = newFailure(err, req.Attempt.IsSent())
 	}
 	p.server.served.Add(1)
 	return p.send(&Answer{ID: r.ID, Data: w.buf, End: end})
--- a/server/members.go
+++ b/server/members.go
@@ -25,12 +25,12 @@
 	if err != nil {
 		return err
 	}
-	p.table.Join(p.members)
+	p.table.SetPeers(p.members)
 	control := &controlService{server: ctrl.NewServer(ctrl.ServerConfig{Peers: p.members}), listener: ln}
-	if err := p.kernel.Register(p.members); err != nil {
+	if err := p.registry.Register(p.members); err != nil {
 		return err
 	}
-	return p.kernel.Register(control)
+	return p.registry.Register(control)
 }
 
 // controlService runs the server for control calls as a service.
--- a/server/server.go
+++ b/server/server.go
@@ -35,7 +35,7 @@
 // Process is one entry VM.
 type Process struct {
 	cfg       Config
-	kernel    *core.Kernel
+	registry  *core.Registry
 	scope     tally.Scope
 	metrics   http.Handler
 	upstreams map[core.UpstreamID]core.Upstream
@@ -43,7 +43,7 @@
 	store   *store.Store
 	members *peers.Peers
 	owners  *place.Cache
-	table   *table.Keeper
+	table   *table.Cache
 	assign  *assign.Manager
 	client  *relay.Client
 	relay   *relay.Server
@@ -54,7 +54,7 @@
 
 // New opens the listeners and builds the services. Nothing runs yet.
 func New(cfg Config) (*Process, error) {
-	p := &Process{cfg: cfg, kernel: core.NewKernel()}
+	p := &Process{cfg: cfg, registry: core.NewRegistry()}
 	p.scope, p.metrics = stats.New(cfg.Settings.VM.ID)
 	steps := []func() error{
 		p.openUpstreams, p.openPlatform, p.openMembers, p.openOwners, p.openRouter, p.openFront, p.openAdmin,
@@ -92,8 +92,8 @@
 	if err != nil {
 		return err
 	}
-	p.table = table.NewKeeper(table.KeeperConfig{Store: p.store, Logger: log.With(p.cfg.Log, "Service", "table")})
-	return p.kernel.Register(p.table)
+	p.table = table.NewCache(table.CacheConfig{Store: p.store, Logger: log.With(p.cfg.Log, "Service", "table")})
+	return p.registry.Register(p.table)
 }
 
 func (p *Process) openOwners() error {
@@ -109,7 +109,7 @@
 	}
 	p.relay = relay.NewServer(relay.ServerConfig{Listener: ln, Find: p.assign.Executor, Log: log.With(p.cfg.Log, "Service", "relay")})
 	p.client = relay.NewClient(relay.ClientConfig{})
-	return errors.Join(p.kernel.Register(p.assign), p.kernel.Register(p.relay), p.kernel.Register(p.client))
+	return errors.Join(p.registry.Register(p.assign), p.registry.Register(p.relay), p.registry.Register(p.client))
 }
 
 func (p *Process) openRouter() error {
@@ -117,7 +117,7 @@
 		Upstreams: p.cfg.Settings.Upstreams, Members: p.members, Owners: p.owners.Owners,
 		Local: p.assign.Executor, Remote: p.client.Executor, View: p.assign.View,
 	})
-	return p.kernel.Register(p.router)
+	return p.registry.Register(p.router)
 }
 
 func (p *Process) openFront() error {
@@ -136,7 +136,7 @@
 		DefaultKind: s.Callers.DefaultKind, MaxMessage: s.Callers.MaxMessage,
 		MaxConnections: s.Callers.MaxConnections, TLSRequired: s.CallerTLS.Required,
 	})
-	return p.kernel.Register(p.front)
+	return p.registry.Register(p.front)
 }
 
 func (p *Process) openAdmin() error {
@@ -144,8 +144,8 @@
 	if err != nil {
 		return err
 	}
-	p.admin = admin.New(admin.Config{Listener: ln, Kernel: p.kernel, Metrics: p.metrics, Status: p.status})
-	return p.kernel.Register(p.admin)
+	p.admin = admin.New(admin.Config{Listener: ln, Registry: p.registry, Metrics: p.metrics, Status: p.status})
+	return p.registry.Register(p.admin)
 }
 
 // Run serves until ctx ends and then stops gracefully.
@@ -153,7 +153,7 @@
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	end := make(chan error, 1)
-	go func() { end <- p.kernel.Run(runCtx) }()
+	go func() { end <- p.registry.Run(runCtx) }()
 	readyEnd := make(chan error, 1)
 	go func() { readyEnd <- p.awaitReady(ctx) }()
 	level.Info(p.cfg.Log).Log("Msg", "entry VM started", "VM", p.cfg.Settings.VM.ID, "Callers", p.cfg.Settings.Listen.Callers)
