--- a/core/elect/assess.go
+++ b/core/elect/assess.go
@@ -223,7 +223,7 @@
 	if r.Status.Leaving {
 		return true
 	}
-	return d.cfg.Members != nil && d.cfg.Members.Leaving(r.ID)
+	return d.cfg.Members != nil && d.cfg.Members.IsLeaving(r.ID)
 }
 
 // hasSuccessor reports whether a replica that stays is close enough to the leaving primary.
--- a/core/line.go
+++ b/core/line.go
@@ -62,8 +62,8 @@
 
 // Operations of commands.
 const (
-	// OpCaller passes a caller's statement on unchanged.
-	OpCaller Op = iota
+	// OpForward passes a caller's statement on unchanged.
+	OpForward Op = iota
 	// OpExecute runs the prepared statement Name with the arguments in Text.
 	OpExecute
 	OpBegin
--- a/core/peers/fleet_test.go
+++ b/core/peers/fleet_test.go
@@ -262,7 +262,7 @@
 				time.Sleep(time.Minute)
 				f.nodes[3].MarkLeaving("ledger-1", true)
 				mark := f.within(tt.mark, "all know the leaving upstream", func() bool {
-					return !slices.ContainsFunc(f.nodes, func(n *node) bool { return !n.Leaving("ledger-1") })
+					return !slices.ContainsFunc(f.nodes, func(n *node) bool { return !n.IsLeaving("ledger-1") })
 				})
 				_, err := f.nodes[5].table.Adopt([]byte("7"), "store")
 				assert.NilError(t, err)
@@ -339,7 +339,7 @@
 						lowOut = min(lowOut, len(n.Alive()))
 					}
 					return f.agree(f.nodes, size) && !slices.ContainsFunc(f.nodes, func(n *node) bool {
-						return !n.Leaving("ledger-1") || n.table.Version() != 9
+						return !n.IsLeaving("ledger-1") || n.table.Version() != 9
 					})
 				})
 				t.Logf("%d members: apart after %s, joined after %s, fewest alive while joining: %d of %d and %d of %d",
@@ -427,7 +427,7 @@
 		f.within(6*time.Second, "all know the marks", func() bool {
 			return f.agree(f.nodes, 65) && !slices.ContainsFunc(f.nodes, func(n *node) bool {
 				i := slices.IndexFunc(n.Alive(), func(vm core.VM) bool { return vm.ID == leavingVM.ID })
-				return !n.Leaving("ledger-1") || n.Leaving("ledger-2") || !n.Alive()[i].Leaving
+				return !n.IsLeaving("ledger-1") || n.IsLeaving("ledger-2") || !n.Alive()[i].Leaving
 			})
 		})
 		list.set(core.VM{ID: "db-1", Upstream: "ledger-1"})
@@ -437,7 +437,7 @@
 		time.Sleep(10 * time.Minute)
 		assert.Assert(t, f.agree(f.nodes, 65))
 		for _, n := range f.nodes {
-			assert.Assert(t, !n.Leaving("ledger-1"))
+			assert.Assert(t, !n.IsLeaving("ledger-1"))
 		}
 		list.mu.Lock()
 		defer list.mu.Unlock()
--- a/core/peers/peers.go
+++ b/core/peers/peers.go
@@ -170,8 +170,8 @@
 // Generation implements core.Members.
 func (p *Peers) Generation() uint64 { return p.view.Load().generation }
 
-// Leaving implements core.Members.
-func (p *Peers) Leaving(id core.UpstreamID) bool { return p.view.Load().leaving[id] }
+// IsLeaving implements core.Members.
+func (p *Peers) IsLeaving(id core.UpstreamID) bool { return p.view.Load().leaving[id] }
 
 // MarkLeaving implements core.Members. A mark that changes nothing costs nothing.
 func (p *Peers) MarkLeaving(id core.UpstreamID, leaving bool) {
--- a/core/platform.go
+++ b/core/platform.go
@@ -68,8 +68,8 @@
 	Alive() []VM
 	// Generation grows whenever Alive or Leaving changes.
 	Generation() uint64
-	// Leaving reports whether any entry VM or the platform has seen that the upstream is leaving.
-	Leaving(id UpstreamID) bool
+	// IsLeaving reports whether any entry VM or the platform has seen that the upstream is leaving.
+	IsLeaving(id UpstreamID) bool
 	// MarkLeaving spreads that the upstream is leaving, or no longer is.
 	MarkLeaving(id UpstreamID, leaving bool)
 }
--- a/core/proxy/fake_test.go
+++ b/core/proxy/fake_test.go
@@ -120,7 +120,7 @@
 		l.status = core.TxFailed
 	}
 	ans := core.Answer{Fault: fault, Status: l.status, Position: l.s.log}
-	if fault == core.FaultNone && (c.Op == core.OpCaller || c.Op == core.OpExecute) {
+	if fault == core.FaultNone && (c.Op == core.OpForward || c.Op == core.OpExecute) {
 		ans.Signed = true
 		ans.Body = []byte("COMPLETE " + string(l.s.id) + "\r\n")
 	}
--- a/core/proxy/load_test.go
+++ b/core/proxy/load_test.go
@@ -232,7 +232,7 @@
 		}
 		relay, _, ok := r.proxy.OpenRelay(primaryID)
 		assert.Assert(t, ok)
-		read := core.Command{Op: core.OpCaller, ID: "q", Text: "READ 1", Kind: "strict"}
+		read := core.Command{Op: core.OpForward, ID: "q", Text: "READ 1", Kind: "strict"}
 		ans := relay.Execute(t.Context(), read, time.Now().Add(300*time.Millisecond))
 		assert.Equal(t, ans.Fault, core.FaultOverload)
 		assert.Equal(t, asked, 0)
@@ -298,7 +298,7 @@
 		relay, _, ok := r.proxy.OpenRelay(primaryID)
 		assert.Assert(t, ok)
 		began := time.Now()
-		cmd := core.Command{Op: core.OpCaller, ID: "q", Text: "WRITE 2", Kind: "own", StartBy: began.Add(200 * time.Millisecond)}
+		cmd := core.Command{Op: core.OpForward, ID: "q", Text: "WRITE 2", Kind: "own", StartBy: began.Add(200 * time.Millisecond)}
 		ans := relay.Execute(t.Context(), cmd, began.Add(600*time.Millisecond))
 		assert.Assert(t, ans.Fault.IsNotRun(), "%v", ans.Fault)
 		assert.Assert(t, time.Since(began) <= 250*time.Millisecond, "refused after %v", time.Since(began))
--- a/core/proxy/session_test.go
+++ b/core/proxy/session_test.go
@@ -262,7 +262,7 @@
 		deadline := time.Now().Add(time.Second)
 		begin := relay.Execute(t.Context(), core.Command{Op: core.OpBegin, Kind: "strict"}, deadline)
 		assert.Equal(t, begin.Fault, core.FaultReadOnly)
-		read := core.Command{Op: core.OpCaller, ID: "q", Text: "READ 1", Kind: "strict"}
+		read := core.Command{Op: core.OpForward, ID: "q", Text: "READ 1", Kind: "strict"}
 		assert.Equal(t, relay.Execute(t.Context(), read, deadline).Fault, core.FaultMalformed)
 		assert.Equal(t, relay.Execute(t.Context(), core.Command{Op: core.OpRollback}, deadline).Status, core.TxIdle)
 		assert.Equal(t, len(r.texts(nearID)), 0)
@@ -276,12 +276,12 @@
 		relay, _, _ := r.proxy.OpenRelay(primaryID)
 		deadline := time.Now().Add(time.Second)
 		for _, c := range []core.Command{
-			{Op: core.OpBegin, Kind: "own"}, {Op: core.OpCaller, ID: "1", Text: "WRITE 1", Kind: "own"},
+			{Op: core.OpBegin, Kind: "own"}, {Op: core.OpForward, ID: "1", Text: "WRITE 1", Kind: "own"},
 		} {
 			assert.Equal(t, relay.Execute(t.Context(), c, deadline).Fault, core.FaultNone)
 		}
 		r.servers[primaryID].set(func(s *server) { s.broken = true })
-		ans := relay.Execute(t.Context(), core.Command{Op: core.OpCaller, ID: "2", Text: "COMMIT", Kind: "own", Commit: true}, deadline)
+		ans := relay.Execute(t.Context(), core.Command{Op: core.OpForward, ID: "2", Text: "COMMIT", Kind: "own", Commit: true}, deadline)
 		assert.Equal(t, ans.Fault, core.FaultInDoubt)
 	})
 }
--- a/core/proxy/work.go
+++ b/core/proxy/work.go
@@ -82,7 +82,7 @@
 
 // command returns the statement for an upstream.
 func (w *work) command(await core.Position) core.Command {
-	c := w.stamp(core.Command{Op: core.OpCaller, ID: w.st.ID, Text: w.st.Text, Await: await, Commit: w.st.Verb == VerbCommit})
+	c := w.stamp(core.Command{Op: core.OpForward, ID: w.st.ID, Text: w.st.Text, Await: await, Commit: w.st.Verb == VerbCommit})
 	if w.shape != nil {
 		c.Op, c.Name, c.Text = core.OpExecute, w.shape.name(), w.st.Arg
 	}
--- a/core/route/choose.go
+++ b/core/route/choose.go
@@ -74,7 +74,7 @@
 	if info.ID == t.group.knownPrimary() {
 		cost += costPrimary
 	}
-	if t.router.cfg.Members.Leaving(info.ID) {
+	if t.router.cfg.Members.IsLeaving(info.ID) {
 		cost += costLeaving
 	}
 	if t.isBehind(info.ID) {
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -68,7 +68,7 @@
 func (m *members) Self() core.VM                     { return m.alive[0] }
 func (m *members) Alive() []core.VM                  { return m.alive }
 func (m *members) Generation() uint64                { return 1 }
-func (m *members) Leaving(core.UpstreamID) bool      { return false }
+func (m *members) IsLeaving(core.UpstreamID) bool    { return false }
 func (m *members) MarkLeaving(core.UpstreamID, bool) {}
 func ownersNone(core.UpstreamInfo) []core.VM         { return nil }
 
--- a/server/server.go
+++ b/server/server.go
@@ -246,7 +246,7 @@
 		Primaries: p.router.Primaries(),
 	}
 	for _, info := range p.cfg.Settings.Upstreams {
-		if p.members.Leaving(info.ID) {
+		if p.members.IsLeaving(info.ID) {
 			st.Leaving = append(st.Leaving, info.ID)
 		}
 	}
