--- a/core/owner/check.go
+++ b/core/owner/check.go
@@ -77,7 +77,7 @@
 
 // checkLeaving refuses new work on an upstream that is about to be taken away.
 func (o *Owner) checkLeaving(primary bool) error {
-	if !o.cfg.IsLeaving() {
+	if !o.cfg.Leaving() {
 		o.leavingSince.Store(0)
 		return nil
 	}
--- a/core/owner/config.go
+++ b/core/owner/config.go
@@ -32,10 +32,10 @@
 	Upstream core.Upstream
 	View     core.GroupView
 	Policies core.Policies
-	// IsLeaving reports whether any entry VM has seen that the upstream is leaving.
-	IsLeaving func() bool
-	Log       log.Logger
-	Metrics   tally.Scope
+	// Leaving reports whether any entry VM has seen that the upstream is leaving.
+	Leaving func() bool
+	Log     log.Logger
+	Metrics tally.Scope
 	// Scheduler builds the scheduler of the queue; the default is queue.Shares.
 	Scheduler func(cfg queue.Config) queue.Scheduler
 	// Hook is called before each step of a request. An error makes the step fail.
@@ -79,8 +79,8 @@
 
 // withDefaults replaces zero values by the defaults.
 func (c Config) withDefaults() Config {
-	if c.IsLeaving == nil {
-		c.IsLeaving = func() bool { return false }
+	if c.Leaving == nil {
+		c.Leaving = func() bool { return false }
 	}
 	if c.Log == nil {
 		c.Log = log.NewNopLogger()
--- a/core/owner/fake_test.go
+++ b/core/owner/fake_test.go
@@ -357,7 +357,7 @@
 			"book": {Kind: "book", Rank: core.RankUrgent, Weight: 1, QueueTime: time.Second},
 		}},
 	}
-	cfg := Config{Upstream: f.up, View: f.view, Policies: f.policies, IsLeaving: f.leaving.Load}
+	cfg := Config{Upstream: f.up, View: f.view, Policies: f.policies, Leaving: f.leaving.Load}
 	if change != nil {
 		change(&cfg, f)
 	}
--- a/server/groups.go
+++ b/server/groups.go
@@ -56,8 +56,8 @@
 	}
 	return owner.New(owner.Config{
 		Upstream: p.upstreams[info.ID], View: view, Policies: p.table, Group: group,
-		IsLeaving: func() bool { return p.members.IsLeaving(info.ID) },
-		Log:       log.With(p.cfg.Log, "Service", "owner"),
-		Metrics:   p.scope.SubScope("Owner").Tagged(map[string]string{"Upstream": string(info.ID)}),
+		Leaving: func() bool { return p.members.IsLeaving(info.ID) },
+		Log:     log.With(p.cfg.Log, "Service", "owner"),
+		Metrics: p.scope.SubScope("Owner").Tagged(map[string]string{"Upstream": string(info.ID)}),
 	})
 }
