--- a/core/proxy/cluster.go
+++ b/core/proxy/cluster.go
@@ -37,13 +37,13 @@
 }
 
 func (p *Proxy) state(now time.Time, g *group, nodes []*node) lead.Group {
-	st := lead.Group{ID: g.id, Members: len(nodes), Duty: p.isWatcher(g.id)}
+	st := lead.Group{ID: g.id, Members: len(nodes), IsMonitor: p.isWatcher(g.id)}
 	if n := g.primary(now); n != nil {
 		u := n.info.Load()
 		st.Primary, st.Leaving = u.ID, u.Leaving
 		g.mu.Lock()
 		if g.provedBy == u.ID {
-			st.ProvedAt = g.provedAt
+			st.PrimaryConfirmedAt = g.provedAt
 		}
 		g.mu.Unlock()
 		n.mu.Lock()
@@ -80,12 +80,12 @@
 }
 
 // Probe implements lead.Cluster. It opens and ends a transaction, which takes no slot of the upstream.
-func (p *Proxy) Probe(ctx context.Context, id core.UpstreamID) (lead.Standing, error) {
+func (p *Proxy) Probe(ctx context.Context, id core.UpstreamID) (lead.ProbeResult, error) {
 	p.mu.Lock()
 	n, ok := p.nodes[id]
 	p.mu.Unlock()
 	if !ok {
-		return lead.Standing{}, lead.ErrNotAsked
+		return lead.ProbeResult{}, lead.ErrProbeNotSent
 	}
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -96,7 +96,7 @@
 
 // probe uses an idle connection if there is one, otherwise a new one, and after probeRelayDelay also
 // other VMs: this VM may be cut off from an upstream that works.
-func (n *node) probe(ctx context.Context, deadline time.Time) (lead.Standing, error) {
+func (n *node) probe(ctx context.Context, deadline time.Time) (lead.ProbeResult, error) {
 	first, _ := n.poolOrder()
 	if handle, ok := n.tryGet(first); ok {
 		if at, err := n.probeOn(handle, time.Now().Add(time.Until(deadline)/3)); err == nil {
@@ -104,11 +104,11 @@
 		}
 	}
 	type result struct {
-		at  lead.Standing
+		at  lead.ProbeResult
 		err error
 	}
 	results := make(chan result, 2)
-	start := func(how func(context.Context, time.Time) (lead.Standing, error)) {
+	start := func(how func(context.Context, time.Time) (lead.ProbeResult, error)) {
 		n.p.spawn(func() {
 			at, err := how(ctx, deadline)
 			results <- result{at, err}
@@ -131,15 +131,15 @@
 			startPeerProbe()
 			// An upstream that rejected the probe is alive. A probe that couldn't be sent tells nothing
 			// about it.
-			if failure == nil || errors.Is(r.err, lead.ErrNotAsked) || isNotProbed(failure) {
+			if failure == nil || errors.Is(r.err, lead.ErrProbeNotSent) || isNotProbed(failure) {
 				failure = r.err
 			}
 		}
 	}
 	if isNotProbed(failure) {
-		failure = lead.ErrNotAsked
+		failure = lead.ErrProbeNotSent
 	}
-	return lead.Standing{}, failure
+	return lead.ProbeResult{}, failure
 }
 
 // isNotProbed reports whether a probe failed before it was sent, on this VM or on another one.
@@ -147,28 +147,28 @@
 	return isAtLimit(err) || errors.Is(err, errNoOwner) || errors.Is(err, pool.ErrClosed)
 }
 
-func (n *node) probeThroughPeers(ctx context.Context, deadline time.Time) (lead.Standing, error) {
+func (n *node) probeThroughPeers(ctx context.Context, deadline time.Time) (lead.ProbeResult, error) {
 	return n.probeFromPool(ctx, n.relayed, deadline)
 }
 
 // probePooled probes on a pooled connection, waiting for one until the deadline.
-func (n *node) probePooled(ctx context.Context, deadline time.Time) (lead.Standing, error) {
+func (n *node) probePooled(ctx context.Context, deadline time.Time) (lead.ProbeResult, error) {
 	handle, err := n.get(ctx, deadline)
 	if err != nil {
-		return lead.Standing{}, err
+		return lead.ProbeResult{}, err
 	}
 	return n.probeOn(handle, deadline)
 }
 
-func (n *node) probeFromPool(ctx context.Context, p *pool.Pool[*conn], deadline time.Time) (lead.Standing, error) {
+func (n *node) probeFromPool(ctx context.Context, p *pool.Pool[*conn], deadline time.Time) (lead.ProbeResult, error) {
 	handle, err := n.getFrom(ctx, p, deadline)
 	if err != nil {
-		return lead.Standing{}, err
+		return lead.ProbeResult{}, err
 	}
 	return n.probeOn(handle, deadline)
 }
 
-func (n *node) probeOn(handle *pool.Handle[*conn], deadline time.Time) (lead.Standing, error) {
+func (n *node) probeOn(handle *pool.Handle[*conn], deadline time.Time) (lead.ProbeResult, error) {
 	h := &heldConn{node: n, handle: handle}
 	at, err := n.queryLeadership(h.handle.Value, deadline)
 	if err != nil {
@@ -183,17 +183,17 @@
 // probeDirectly probes on a new connection, since the upstream may no longer answer on pooled ones. At
 // the upstream's connection limit it uses a pooled one: busy replicas must be reachable before a
 // primary is replaced.
-func (n *node) probeDirectly(ctx context.Context, deadline time.Time) (lead.Standing, error) {
+func (n *node) probeDirectly(ctx context.Context, deadline time.Time) (lead.ProbeResult, error) {
 	lc, err := n.p.cfg.Dialer.Dial(ctx, n.info.Load().UpstreamInfo)
 	if isAtLimit(err) {
 		at, err := n.probeFromPool(ctx, n.direct, deadline)
 		if err != nil {
-			return lead.Standing{}, lead.ErrNotAsked
+			return lead.ProbeResult{}, lead.ErrProbeNotSent
 		}
 		return at, nil
 	}
 	if err != nil {
-		return lead.Standing{}, err
+		return lead.ProbeResult{}, err
 	}
 	defer func() { _ = lc.Close() }()
 	return n.queryLeadership(&conn{LineConn: lc}, deadline)
@@ -201,29 +201,29 @@
 
 // queryLeadership opens and rolls back a transaction on the connection, which proves whether the
 // upstream leads.
-func (n *node) queryLeadership(c *conn, deadline time.Time) (lead.Standing, error) {
+func (n *node) queryLeadership(c *conn, deadline time.Time) (lead.ProbeResult, error) {
 	asked := n.p.cfg.Now()
 	if err := c.Send([]core.Command{{Op: core.OpBegin}, {Op: core.OpRollback}}); err != nil {
-		return lead.Standing{}, err
+		return lead.ProbeResult{}, err
 	}
 	ans, err := c.Receive(deadline)
 	if err != nil {
-		return lead.Standing{}, err
+		return lead.ProbeResult{}, err
 	}
 	if _, err := c.Receive(deadline); err != nil {
-		return lead.Standing{}, err
+		return lead.ProbeResult{}, err
 	}
 	n.notePosition(ans.Position)
 	switch ans.Fault {
 	case core.FaultNone:
 		n.noteLeads(asked, ans.Position)
-		return lead.Standing{Leads: true, Log: ans.Position}, nil
+		return lead.ProbeResult{Leads: true, Log: ans.Position}, nil
 	case core.FaultReadOnly:
 		n.noteDenied()
 		n.p.logDecision("upstream doesn't lead", "Upstream", n.id(), "Position", ans.Position, "Status", string(ans.Status))
-		return lead.Standing{Log: ans.Position}, nil
+		return lead.ProbeResult{Log: ans.Position}, nil
 	case core.FaultOverload, core.FaultBusy:
-		return lead.Standing{}, lead.ErrNotAsked
+		return lead.ProbeResult{}, lead.ErrProbeNotSent
 	}
-	return lead.Standing{}, core.ErrUpstream.New("probe: %s", ans.Fault)
+	return lead.ProbeResult{}, core.ErrUpstream.New("probe: %s", ans.Fault)
 }
--- a/core/proxy/history_test.go
+++ b/core/proxy/history_test.go
@@ -153,7 +153,7 @@
 		h.reportViolation("%s ran %d times", text, runs)
 	case reply.Fault == core.FaultNone && runs == 0:
 		h.reportViolation("%s was acknowledged but didn't run", text)
-	case reply.Fault.NotRun() && runs > 0:
+	case reply.Fault.IsNotRun() && runs > 0:
 		h.reportViolation("%s was refused as %s but ran", text, reply.Fault)
 	}
 	if reply.Fault == core.FaultNone {
--- a/core/proxy/load_test.go
+++ b/core/proxy/load_test.go
@@ -232,7 +232,7 @@
 		}
 		relay, _, ok := r.proxy.OpenRelay(primaryID)
 		assert.Assert(t, ok)
-		read := core.Command{Op: core.OpCaller, ID: "q", Text: "READ 1", Kind: "strict"}
+		read := core.Command{Op: core.OpForward, ID: "q", Text: "READ 1", Kind: "strict"}
 		ans := relay.Execute(t.Context(), read, time.Now().Add(300*time.Millisecond))
 		assert.Equal(t, ans.Fault, core.FaultOverload)
 		assert.Equal(t, asked, 0)
@@ -297,9 +297,9 @@
 		relay, _, ok := r.proxy.OpenRelay(primaryID)
 		assert.Assert(t, ok)
 		began := time.Now()
-		cmd := core.Command{Op: core.OpCaller, ID: "q", Text: "WRITE 2", Kind: "own", StartBy: began.Add(200 * time.Millisecond)}
+		cmd := core.Command{Op: core.OpForward, ID: "q", Text: "WRITE 2", Kind: "own", StartBy: began.Add(200 * time.Millisecond)}
 		ans := relay.Execute(t.Context(), cmd, began.Add(600*time.Millisecond))
-		assert.Assert(t, ans.Fault.NotRun(), "%v", ans.Fault)
+		assert.Assert(t, ans.Fault.IsNotRun(), "%v", ans.Fault)
 		assert.Assert(t, time.Since(began) <= 250*time.Millisecond, "refused after %v", time.Since(began))
 	})
 }
@@ -367,6 +367,6 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		defer cancel()
 		_, err := r.proxy.Probe(ctx, primaryID)
-		assert.Assert(t, errors.Is(err, lead.ErrNotAsked), "%v", err)
+		assert.Assert(t, errors.Is(err, lead.ErrProbeNotSent), "%v", err)
 	})
 }
--- a/core/proxy/work.go
+++ b/core/proxy/work.go
@@ -82,7 +82,7 @@
 
 // command returns the statement as a command for the upstream.
 func (w *work) command(await core.Position) core.Command {
-	c := w.withQueueing(core.Command{Op: core.OpCaller, ID: w.st.ID, Text: w.st.Text, Await: await, Commit: w.st.Verb == VerbCommit})
+	c := w.withQueueing(core.Command{Op: core.OpForward, ID: w.st.ID, Text: w.st.Text, Await: await, Commit: w.st.Verb == VerbCommit})
 	if w.prepared != nil {
 		c.Op, c.Name, c.Text = core.OpExecute, w.prepared.name(), w.st.Arg
 	}
@@ -116,10 +116,10 @@
 		w.askedReadIndex = true
 		await, ok = s.readIndex(ctx, primary)
 	}
-	if !ok || (s.lastCommitUnknown && w.route.Reads == topo.OwnWrites) {
+	if !ok || (s.lastCommitUnknown && w.route.Reads == topo.ReadYourWrites) {
 		return target{node: primary, strict: true}, primary != nil
 	}
-	if w.route.Reads == topo.OwnWrites && await.Less(s.lastCommit) {
+	if w.route.Reads == topo.ReadYourWrites && await.Less(s.lastCommit) {
 		await = s.lastCommit
 	}
 	if n := w.cheapestUntried(now, await); n != nil {
