--- a/core/proxy/cluster.go
+++ b/core/proxy/cluster.go
@@ -37,7 +37,7 @@
 }
 
 func (p *Proxy) state(now time.Time, g *group, nodes []*node) lead.Group {
-	st := lead.Group{ID: g.id, Members: len(nodes), IsMonitor: p.isWatcher(g.id)}
+	st := lead.Group{ID: g.id, Members: len(nodes), IsMonitor: p.isMonitor(g.id)}
 	if n := g.primary(now); n != nil {
 		u := n.info.Load()
 		st.Primary, st.Leaving = u.ID, u.Leaving
@@ -63,10 +63,10 @@
 	return st
 }
 
-// isWatcher reports whether this VM probes the group's primary continuously. One VM in each failure
+// isMonitor reports whether this VM probes the group's primary continuously. One VM in each failure
 // domain does, so that a domain that is cut off is noticed and the load doesn't grow with the number of
 // VMs.
-func (p *Proxy) isWatcher(id core.GroupID) bool {
+func (p *Proxy) isMonitor(id core.GroupID) bool {
 	return place.IsElected("watch/"+string(id), p.cfg.Self, p.cfg.Members.Alive(), 1)
 }
 
@@ -99,19 +99,19 @@
 func (n *node) probe(ctx context.Context, deadline time.Time) (lead.ProbeResult, error) {
 	first, _ := n.poolOrder()
 	if handle, ok := n.tryGet(first); ok {
-		if at, err := n.probeOn(handle, time.Now().Add(time.Until(deadline)/3)); err == nil {
-			return at, nil
+		if res, err := n.probeOn(handle, time.Now().Add(time.Until(deadline)/3)); err == nil {
+			return res, nil
 		}
 	}
 	type result struct {
-		at  lead.ProbeResult
+		res lead.ProbeResult
 		err error
 	}
 	results := make(chan result, 2)
 	start := func(how func(context.Context, time.Time) (lead.ProbeResult, error)) {
 		n.p.spawn(func() {
-			at, err := how(ctx, deadline)
-			results <- result{at, err}
+			res, err := how(ctx, deadline)
+			results <- result{res, err}
 		})
 	}
 	start(n.probeDirectly)
@@ -125,25 +125,25 @@
 			startPeerProbe()
 		case r := <-results:
 			if r.err == nil {
-				return r.at, nil
+				return r.res, nil
 			}
 			answers++
 			startPeerProbe()
 			// An upstream that rejected the probe is alive. A probe that couldn't be sent tells nothing
 			// about it.
-			if failure == nil || errors.Is(r.err, lead.ErrProbeNotSent) || isNotProbed(failure) {
+			if failure == nil || errors.Is(r.err, lead.ErrProbeNotSent) || isProbeNotSent(failure) {
 				failure = r.err
 			}
 		}
 	}
-	if isNotProbed(failure) {
+	if isProbeNotSent(failure) {
 		failure = lead.ErrProbeNotSent
 	}
 	return lead.ProbeResult{}, failure
 }
 
-// isNotProbed reports whether a probe failed before it was sent, on this VM or on another one.
-func isNotProbed(err error) bool {
+// isProbeNotSent reports whether a probe failed before it was sent, on this VM or on another one.
+func isProbeNotSent(err error) bool {
 	return isAtLimit(err) || errors.Is(err, errNoOwner) || errors.Is(err, pool.ErrClosed)
 }
 
@@ -170,14 +170,14 @@
 
 func (n *node) probeOn(handle *pool.Handle[*conn], deadline time.Time) (lead.ProbeResult, error) {
 	h := &heldConn{node: n, handle: handle}
-	at, err := n.queryLeadership(h.handle.Value, deadline)
+	res, err := n.queryLeadership(h.handle.Value, deadline)
 	if err != nil {
 		n.noteFailure(h.handle.Value)
 		h.discard()
-		return at, err
+		return res, err
 	}
 	h.free(false)
-	return at, nil
+	return res, nil
 }
 
 // probeDirectly probes on a new connection, since the upstream may no longer answer on pooled ones. At
@@ -186,11 +186,11 @@
 func (n *node) probeDirectly(ctx context.Context, deadline time.Time) (lead.ProbeResult, error) {
 	lc, err := n.p.cfg.Dialer.Dial(ctx, n.info.Load().UpstreamInfo)
 	if isAtLimit(err) {
-		at, err := n.probeFromPool(ctx, n.direct, deadline)
+		res, err := n.probeFromPool(ctx, n.direct, deadline)
 		if err != nil {
 			return lead.ProbeResult{}, lead.ErrProbeNotSent
 		}
-		return at, nil
+		return res, nil
 	}
 	if err != nil {
 		return lead.ProbeResult{}, err
--- a/core/proxy/history_test.go
+++ b/core/proxy/history_test.go
@@ -345,11 +345,11 @@
 
 // Shows that the checks of TestRandomHistories detect a disabled mechanism.
 func TestHistoryChecksDetectDisabledMechanism(t *testing.T) {
-	for _, without := range []mechanism{suspensionClock, leadershipProof} {
+	for _, disabled := range []mechanism{suspensionClock, leadershipProof} {
 		found := 0
 		for seed := uint64(0); found == 0 && seed < *historySeeds; seed++ {
-			found = len(runHistory(t, seed, without).violations)
+			found = len(runHistory(t, seed, disabled).violations)
 		}
-		assert.Assert(t, found > 0, "nothing detected with mechanism %d disabled", without)
+		assert.Assert(t, found > 0, "nothing detected with mechanism %d disabled", disabled)
 	}
 }
--- a/core/proxy/load_test.go
+++ b/core/proxy/load_test.go
@@ -256,9 +256,9 @@
 		r.full.Store(true)
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		defer cancel()
-		at, err := r.proxy.Probe(ctx, nearID)
+		res, err := r.proxy.Probe(ctx, nearID)
 		assert.NilError(t, err)
-		assert.Assert(t, !at.Leads && !at.Log.IsZero())
+		assert.Assert(t, !res.Leads && !res.Log.IsZero())
 	})
 }
 
@@ -277,9 +277,9 @@
 		assert.Equal(t, ends[core.FaultNone], 200, "%v", ends)
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		defer cancel()
-		at, err := r.proxy.Probe(ctx, primaryID)
+		res, err := r.proxy.Probe(ctx, primaryID)
 		assert.NilError(t, err)
-		assert.Assert(t, at.Leads)
+		assert.Assert(t, res.Leads)
 	})
 }
 
--- a/core/proxy/work.go
+++ b/core/proxy/work.go
@@ -133,8 +133,8 @@
 // readIndex asks the primary for its position, which takes no slot, so that the read can run on a
 // replica.
 func (s *Session) readIndex(ctx context.Context, primary *node) (core.Position, bool) {
-	at, err := primary.probePooled(ctx, time.Now().Add(readIndexTimeout))
-	return at.Log, err == nil && at.Leads
+	res, err := primary.probePooled(ctx, time.Now().Add(readIndexTimeout))
+	return res.Log, err == nil && res.Leads
 }
 
 // cheapestUntried returns the node with the lowest estimated cost that was not tried yet, or nil.
