--- a/core/pool/config.go
+++ b/core/pool/config.go
@@ -7,41 +7,41 @@
 
 // Defaults of Config.
 const (
-	defaultDialTime      = 3 * time.Second
-	defaultIdleTime      = 5 * time.Minute
-	defaultHeartbeat     = 5 * time.Second
-	defaultHeartbeatTime = time.Second
-	defaultMinBackoff    = 20 * time.Millisecond
-	defaultMaxBackoff    = time.Second
+	defaultDialTimeout       = 3 * time.Second
+	defaultIdleTimeout       = 5 * time.Minute
+	defaultHeartbeatInterval = 5 * time.Second
+	defaultHeartbeatTimeout  = time.Second
+	defaultMinBackoff        = 20 * time.Millisecond
+	defaultMaxBackoff        = time.Second
 )
 
-// Config describes a pool. Limit, Dial and Close are required; other zero values stand for the
-// defaults.
+// Config configures a Pool. Limit, Dial and Close are required; other zero values stand for the
+// defaults, or switch the feature off where there is none.
 type Config[T any] struct {
-	// Limit is the highest number of connections, including those being dialed.
+	// Limit is the maximum number of connections, including those being dialed.
 	Limit int
-	// MinIdle is the number of idle connections that the pool keeps ready.
+	// MinIdle is the number of idle connections that the pool keeps open.
 	MinIdle int
 	// Dial opens a connection.
 	Dial func(ctx context.Context) (T, error)
 	// Close closes a connection. Its error is ignored, since the connection is gone either way.
 	Close func(v T) error
-	// Ping checks an idle connection. Without it there is no heartbeat.
+	// Ping checks an idle connection. Nil disables the heartbeat.
 	Ping func(ctx context.Context, v T) error
-	// AtLimit tells that a dial error means that the other side is at its connection limit, so that
-	// waiting for a connection in use is worthwhile.
+	// AtLimit reports whether a dial error means that the other side is at its connection limit, so
+	// that waiting for a connection in use is worthwhile.
 	AtLimit func(err error) bool
 	// OnDialError is called after each failed dial.
 	OnDialError func(err error)
 	// DialTimeout limits one dial.
 	DialTimeout time.Duration
 	// SlowStart limits the dials in progress to the number of open connections, at least one. Load
-	// pattern: all VMs come back at once, and each dial occupies the other side for longer than a
+	// pattern: all VMs restart at once, and each dial occupies the other side for longer than a
 	// statement does.
 	SlowStart bool
-	// SlowDialAfter is the time after which Blocked takes a dial for failing; 0 means never.
+	// SlowDialAfter is the time after which Blocked reports a dial as slow; 0 means never.
 	SlowDialAfter time.Duration
-	// IdleTimeout is how long a connection above the warm reserve may stay idle.
+	// IdleTimeout is how long a connection in excess of MinIdle may stay idle.
 	IdleTimeout time.Duration
 	// HeartbeatInterval is the time without use after which an idle connection is checked.
 	HeartbeatInterval time.Duration
@@ -51,14 +51,13 @@
 	MinBackoff, MaxBackoff time.Duration
 }
 
-// withDefaults replaces zero values by the defaults.
 func (c Config[T]) withDefaults() Config[T] {
 	c.Limit = max(c.Limit, 1)
 	c.MinIdle = min(c.MinIdle, c.Limit)
-	setDefault(&c.DialTimeout, defaultDialTime)
-	setDefault(&c.IdleTimeout, defaultIdleTime)
-	setDefault(&c.HeartbeatInterval, defaultHeartbeat)
-	setDefault(&c.HeartbeatTimeout, defaultHeartbeatTime)
+	setDefault(&c.DialTimeout, defaultDialTimeout)
+	setDefault(&c.IdleTimeout, defaultIdleTimeout)
+	setDefault(&c.HeartbeatInterval, defaultHeartbeatInterval)
+	setDefault(&c.HeartbeatTimeout, defaultHeartbeatTimeout)
 	setDefault(&c.MinBackoff, defaultMinBackoff)
 	setDefault(&c.MaxBackoff, defaultMaxBackoff)
 	return c
--- a/core/pool/doc.go
+++ b/core/pool/doc.go
@@ -1,19 +1,19 @@
-// Package pool is a pool of connections with a limit. A reserve of idle connections is dialed in
-// the background, so that the time to open a connection stays off the path of a request.
+// Package pool is a connection pool with a limit. It keeps a minimum number of idle connections open
+// in the background, so that requests rarely wait for a dial.
 //
-// A connection that failed is discarded and never handed out again. Connections that stay idle are
-// checked by a heartbeat and closed when they exceed the idle time. When the other side refuses
-// connections, further dials wait with exponential backoff, and requests fail at once with the
-// refusal unless a connection in use may come back.
+// A failed connection is discarded and never handed out again. Idle connections are checked by a
+// heartbeat and closed after the idle timeout. After a failed dial, further dials wait with
+// exponential backoff, and requests fail immediately with the dial's error unless another connection
+// may still become free.
 //
 // # Usage
 //
 //	p := pool.New(pool.Config[core.Conn]{
-//		Limit: 20,
-//		Warm:  4,
-//		Dial:  upstream.Dial,
-//		Ping:  func(ctx context.Context, c core.Conn) error { return c.Ping(ctx) },
-//		Close: func(c core.Conn) error { return c.Close() },
+//		Limit:   20,
+//		MinIdle: 4,
+//		Dial:    upstream.Dial,
+//		Ping:    func(ctx context.Context, c core.Conn) error { return c.Ping(ctx) },
+//		Close:   func(c core.Conn) error { return c.Close() },
 //	})
 //	go func() { ended <- p.Run(ctx) }()
 //
--- a/core/pool/handle.go
+++ b/core/pool/handle.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Handle is the use of one connection. Exactly one of Put and Discard ends it; later calls have no
+// Handle is the use of one connection. It ends with Put or Discard; later calls of either have no
 // effect, even if the connection has a new user by then.
 type Handle[T any] struct {
 	// Value is the connection. It must not be used after Put or Discard.
@@ -19,11 +19,11 @@
 // entry is a connection of the pool.
 type entry[T any] struct {
 	value T
-	// used is when the connection was last returned, checked when it last proved to answer.
-	used, checked time.Time
+	// lastUsed is when the connection was last returned, lastAnswered when it last proved to work.
+	lastUsed, lastAnswered time.Time
 }
 
-// Put returns a connection that works and has no request in progress.
+// Put returns a working connection without a request in progress to the pool.
 func (h *Handle[T]) Put() {
 	if h.ended.Swap(true) {
 		return
@@ -31,8 +31,8 @@
 	p := h.pool
 	p.mu.Lock()
 	p.inUse--
-	h.entry.used = time.Now()
-	h.entry.checked = h.entry.used
+	h.entry.lastUsed = time.Now()
+	h.entry.lastAnswered = h.entry.lastUsed
 	kept := p.offer(h.entry)
 	p.mu.Unlock()
 	if !kept {
@@ -40,8 +40,9 @@
 	}
 }
 
-// Discard closes a connection that failed or whose state is unknown. Whatever broke it may have broken
-// the idle connections, too, unless they have answered within the time of a check.
+// Discard closes a connection that failed or whose state is unknown. The cause may affect the idle
+// connections as well, so those that have not answered within the last HeartbeatTimeout are checked
+// before their next use.
 func (h *Handle[T]) Discard() {
 	if h.ended.Swap(true) {
 		return
@@ -49,7 +50,7 @@
 	p := h.pool
 	p.mu.Lock()
 	p.inUse--
-	p.doubt = time.Now().Add(-p.cfg.HeartbeatTimeout)
+	p.suspectBefore = time.Now().Add(-p.cfg.HeartbeatTimeout)
 	p.mu.Unlock()
 	p.close(h.entry)
 }
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// ErrClosed says that the pool has ended, ErrSlow that its dials take long.
+// ErrClosed says that the pool has ended, ErrSlow that a dial has been in progress for too long.
 var (
 	ErrClosed = errors.New("connection pool is closed")
 	ErrSlow   = errors.New("dials are slow")
@@ -21,46 +21,46 @@
 	wake chan struct{}
 
 	mu sync.Mutex
-	// idle is ordered by last use; connections are taken from the end.
+	// idle is ordered by last use. Connections are taken from the end.
 	idle    []*entry[T]
 	waiters []*waiter[T]
-	// total counts all connections against the limit: idle, in use, dialing, in a check or closing.
+	// total counts the connections against the limit: idle, in use, being dialed, checked or closed.
 	total, inUse, dialing, checking int
 	closed                          bool
-	// dialingSince is when the oldest dial in progress may have begun.
+	// dialingSince is the earliest time at which a dial in progress may have begun.
 	dialingSince time.Time
 	dialErr      error
 	backoff      time.Duration
 	retryAt      time.Time
-	// doubt is a time: idle connections that last answered before it may be as silent as one that
-	// was discarded, and are checked before they are used again.
-	doubt time.Time
+	// Idle connections that last answered before suspectBefore are checked before their next use, since
+	// a connection failed after that.
+	suspectBefore time.Time
 }
 
-// waiter is a call of Get that found no idle connection.
+// waiter is a call of Get that waits for a connection.
 type waiter[T any] struct {
-	ready chan outcome[T]
+	ready chan getResult[T]
 }
 
-type outcome[T any] struct {
+type getResult[T any] struct {
 	handle *Handle[T]
 	err    error
 }
 
-// Stats shows a pool's state.
+// Stats is a snapshot of a pool for status output.
 type Stats struct {
 	Limit, Total, InUse, Idle, Dialing, Waiting int
-	// DialError is the last dial's error, if it failed.
+	// DialError is the error of the last dial, or empty if it succeeded.
 	DialError string `json:",omitempty"`
 }
 
-// New returns a pool. It dials only while Run works.
+// New returns a pool. It dials only while Run runs.
 func New[T any](cfg Config[T]) *Pool[T] {
 	return &Pool[T]{cfg: cfg.withDefaults(), wake: make(chan struct{}, 1)}
 }
 
-// Get takes a connection. Without an idle one it waits for a dial or a returned connection. Its
-// errors are the dial's error, ErrClosed and the context's error.
+// Get takes a connection. If none is idle, it waits for a dial or a returned connection. Its errors are
+// the dial's error, ErrClosed and the context's error.
 func (p *Pool[T]) Get(ctx context.Context) (*Handle[T], error) {
 	p.mu.Lock()
 	if h, ok := p.takeIdle(); ok {
@@ -71,11 +71,11 @@
 		p.mu.Unlock()
 		return nil, ErrClosed
 	}
-	if p.dialErr != nil && time.Now().Before(p.retryAt) && !p.mayWait(p.dialErr) {
+	if p.dialErr != nil && time.Now().Before(p.retryAt) && !p.canWait(p.dialErr) {
 		defer p.mu.Unlock()
 		return nil, p.dialErr
 	}
-	w := &waiter[T]{ready: make(chan outcome[T], 1)}
+	w := &waiter[T]{ready: make(chan getResult[T], 1)}
 	p.waiters = append(p.waiters, w)
 	p.mu.Unlock()
 	p.signal()
@@ -83,7 +83,7 @@
 	case out := <-w.ready:
 		return out.handle, out.err
 	case <-ctx.Done():
-		p.abandon(w)
+		p.cancelWaiter(w)
 		return nil, ctx.Err()
 	}
 }
@@ -95,8 +95,8 @@
 	return p.takeIdle()
 }
 
-// Blocked returns why no new connection can be had now, or nil: the last dial's error while the next one
-// hasn't succeeded yet, or ErrSlow if the dials in progress are slow.
+// Blocked returns why no new connection can be opened now, or nil: the error of the last dial during
+// its backoff and the next dial, or ErrSlow if a dial in progress is slow.
 func (p *Pool[T]) Blocked() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,25 +110,25 @@
 	return nil
 }
 
-// takeIdle takes the connection that was used last. The caller holds mu.
+// takeIdle takes the most recently used connection. The caller holds mu.
 func (p *Pool[T]) takeIdle() (*Handle[T], bool) {
 	n := len(p.idle)
 	if n == 0 {
 		return nil, false
 	}
-	if p.doubted(p.idle[n-1]) {
+	if p.isSuspect(p.idle[n-1]) {
 		p.signal()
 		return nil, false
 	}
-	h := p.hold(p.idle[n-1])
+	h := p.newHandle(p.idle[n-1])
 	p.idle = p.idle[:n-1]
-	if p.lacking() > 0 {
+	if p.neededDials() > 0 {
 		p.signal()
 	}
 	return h, true
 }
 
-// Stats returns the pool's state.
+// Stats returns a snapshot of the pool.
 func (p *Pool[T]) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,12 +159,12 @@
 			tasks++
 			go func() { p.dial(ctx); ends <- struct{}{} }()
 		}
-		for _, e := range p.takeDue(now) {
+		for _, e := range p.takeDueForCheck(now) {
 			tasks++
 			go func() { p.check(ctx, e); ends <- struct{}{} }()
 		}
-		p.expire(now)
-		timer.Reset(p.untilNext(now))
+		p.closeExpired(now)
+		timer.Reset(p.untilNextEvent(now))
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -173,30 +173,30 @@
 			tasks--
 		}
 	}
-	p.shut()
+	p.shutDown()
 	for ; tasks > 0; tasks-- {
 		<-ends
 	}
 	return nil
 }
 
-// hold counts the connection as in use. The caller holds mu.
-func (p *Pool[T]) hold(e *entry[T]) *Handle[T] {
+// newHandle returns a handle and counts the connection as in use. The caller holds mu.
+func (p *Pool[T]) newHandle(e *entry[T]) *Handle[T] {
 	p.inUse++
 	return &Handle[T]{Value: e.value, pool: p, entry: e}
 }
 
-// mayWait reports whether a connection in use may come back to somebody who can't dial one because
-// of err. The caller holds mu.
-func (p *Pool[T]) mayWait(err error) bool {
+// canWait reports whether a waiter can still get a connection after a dial failed with err. The caller
+// holds mu.
+func (p *Pool[T]) canWait(err error) bool {
 	if p.dialing > 0 || p.checking > 0 {
 		return true
 	}
 	return p.inUse > 0 && p.cfg.AtLimit != nil && p.cfg.AtLimit(err)
 }
 
-// offer passes a free connection to the first waiter or keeps it as idle. It returns false if the
-// pool is closed and the connection must be closed. The caller holds mu.
+// offer passes a free connection to the first waiter or keeps it as idle. It returns false if the pool
+// is closed, so that the connection must be closed. The caller holds mu.
 func (p *Pool[T]) offer(e *entry[T]) bool {
 	if p.closed {
 		return false
@@ -204,16 +204,16 @@
 	if len(p.waiters) > 0 {
 		w := p.waiters[0]
 		p.waiters = slices.Delete(p.waiters, 0, 1)
-		w.ready <- outcome[T]{handle: p.hold(e)}
+		w.ready <- getResult[T]{handle: p.newHandle(e)}
 		return true
 	}
-	i, _ := slices.BinarySearchFunc(p.idle, e, func(a, b *entry[T]) int { return a.used.Compare(b.used) })
+	i, _ := slices.BinarySearchFunc(p.idle, e, func(a, b *entry[T]) int { return a.lastUsed.Compare(b.lastUsed) })
 	p.idle = slices.Insert(p.idle, i, e)
 	return true
 }
 
-// close closes a connection. It counts against the limit until then, so that the other side never
-// sees more connections than the limit.
+// close closes a connection. It counts against the limit until it is closed, so that the other side
+// never sees more connections than the limit.
 func (p *Pool[T]) close(e *entry[T]) {
 	_ = p.cfg.Close(e.value)
 	p.mu.Lock()
@@ -222,13 +222,14 @@
 	p.signal()
 }
 
-// doubted reports whether the connection must be checked before its next use. The caller holds mu.
-func (p *Pool[T]) doubted(e *entry[T]) bool {
-	return p.cfg.Ping != nil && e.checked.Before(p.doubt)
+// isSuspect reports whether the connection must be checked before its next use. The caller holds mu.
+func (p *Pool[T]) isSuspect(e *entry[T]) bool {
+	return p.cfg.Ping != nil && e.lastAnswered.Before(p.suspectBefore)
 }
 
-// abandon removes a waiter whose context ended and passes on what it may have been given meanwhile.
-func (p *Pool[T]) abandon(w *waiter[T]) {
+// cancelWaiter removes a waiter whose context ended and returns a connection that it got in the
+// meantime.
+func (p *Pool[T]) cancelWaiter(w *waiter[T]) {
 	p.mu.Lock()
 	i := slices.Index(p.waiters, w)
 	if i >= 0 {
@@ -250,8 +251,8 @@
 	}
 }
 
-// lacking returns how many more connections should be dialed. The caller holds mu.
-func (p *Pool[T]) lacking() int {
+// neededDials returns how many more connections should be dialed. The caller holds mu.
+func (p *Pool[T]) neededDials() int {
 	want := len(p.waiters) + max(0, p.cfg.MinIdle-len(p.idle)-p.checking) - p.dialing
 	want = min(want, p.cfg.Limit-p.total)
 	if p.cfg.SlowStart {
@@ -260,13 +261,13 @@
 	return max(0, want)
 }
 
-// reserveDials returns how many dials to start and counts them.
+// reserveDials returns the number of dials to start and counts them as in progress.
 func (p *Pool[T]) reserveDials(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	n := p.lacking()
+	n := p.neededDials()
 	if p.dialErr != nil {
-		// After a failure a single dial probes whether connections are accepted again.
+		// After a failure, only one dial at a time tests whether connections are accepted again.
 		n = min(n, 1)
 		if now.Before(p.retryAt) || p.dialing > 0 {
 			n = 0
@@ -280,7 +281,6 @@
 	return n
 }
 
-// dial opens one connection and reports the result to the pool.
 func (p *Pool[T]) dial(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.DialTimeout)
 	defer cancel()
@@ -290,7 +290,7 @@
 		return
 	}
 	now := time.Now()
-	e := &entry[T]{value: v, used: now, checked: now}
+	e := &entry[T]{value: v, lastUsed: now, lastAnswered: now}
 	p.mu.Lock()
 	p.dialing--
 	p.dialingSince = now
@@ -303,31 +303,31 @@
 	}
 }
 
-// dialFailed starts the backoff and fails the waiters that nothing else can serve.
+// dialFailed starts the backoff and fails the waiters that can get no other connection.
 func (p *Pool[T]) dialFailed(err error) {
 	p.mu.Lock()
 	p.dialing--
 	p.total--
 	p.dialErr = err
 	p.backoff = min(max(2*p.backoff, p.cfg.MinBackoff), p.cfg.MaxBackoff)
-	// Jitter keeps several entry VMs from dialing at the same moments.
+	// Jitter keeps entry VMs from dialing at the same time.
 	p.retryAt = time.Now().Add(p.backoff/2 + rand.N(p.backoff/2+1))
 	var failed []*waiter[T]
-	if !p.mayWait(err) {
+	if !p.canWait(err) {
 		failed = p.waiters
 		p.waiters = nil
 	}
 	p.mu.Unlock()
 	for _, w := range failed {
-		w.ready <- outcome[T]{err: err}
+		w.ready <- getResult[T]{err: err}
 	}
 	if p.cfg.OnDialError != nil {
 		p.cfg.OnDialError(err)
 	}
 }
 
-// takeDue removes the connections from the idle ones whose heartbeat is due.
-func (p *Pool[T]) takeDue(now time.Time) []*entry[T] {
+// takeDueForCheck removes and returns the idle connections whose heartbeat is due.
+func (p *Pool[T]) takeDueForCheck(now time.Time) []*entry[T] {
 	if p.cfg.Ping == nil {
 		return nil
 	}
@@ -335,7 +335,7 @@
 	defer p.mu.Unlock()
 	var due []*entry[T]
 	p.idle = slices.DeleteFunc(p.idle, func(e *entry[T]) bool {
-		if now.Sub(e.checked) < p.cfg.HeartbeatInterval && !p.doubted(e) {
+		if now.Sub(e.lastAnswered) < p.cfg.HeartbeatInterval && !p.isSuspect(e) {
 			return false
 		}
 		due = append(due, e)
@@ -352,7 +352,7 @@
 	err := p.cfg.Ping(ctx, e.value)
 	p.mu.Lock()
 	p.checking--
-	e.checked = time.Now()
+	e.lastAnswered = time.Now()
 	kept := err == nil && p.offer(e)
 	p.mu.Unlock()
 	if !kept {
@@ -360,8 +360,7 @@
 	}
 }
 
-// SetMinIdle changes the number of idle connections that the pool keeps ready and closes the surplus
-// at once.
+// SetMinIdle changes Config.MinIdle and closes surplus idle connections immediately.
 func (p *Pool[T]) SetMinIdle(n int) {
 	p.mu.Lock()
 	p.cfg.MinIdle = min(n, p.cfg.Limit)
@@ -375,11 +374,11 @@
 	p.signal()
 }
 
-// expire closes connections above the warm reserve that were idle for too long.
-func (p *Pool[T]) expire(now time.Time) {
+// closeExpired closes connections in excess of MinIdle that were idle for IdleTimeout.
+func (p *Pool[T]) closeExpired(now time.Time) {
 	p.mu.Lock()
 	var old []*entry[T]
-	for len(p.idle) > p.cfg.MinIdle && now.Sub(p.idle[0].used) >= p.cfg.IdleTimeout {
+	for len(p.idle) > p.cfg.MinIdle && now.Sub(p.idle[0].lastUsed) >= p.cfg.IdleTimeout {
 		old = append(old, p.idle[0])
 		p.idle = slices.Delete(p.idle, 0, 1)
 	}
@@ -389,8 +388,8 @@
 	}
 }
 
-// untilNext returns the time until a dial, a heartbeat or an expiry may be due.
-func (p *Pool[T]) untilNext(now time.Time) time.Duration {
+// untilNextEvent returns the time until a dial, a heartbeat or an expiry may be due.
+func (p *Pool[T]) untilNextEvent(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	next := now.Add(p.cfg.HeartbeatInterval)
@@ -398,10 +397,10 @@
 		next = earlier(next, p.retryAt)
 	}
 	for _, e := range p.idle {
-		next = earlier(next, e.checked.Add(p.cfg.HeartbeatInterval))
+		next = earlier(next, e.lastAnswered.Add(p.cfg.HeartbeatInterval))
 	}
 	if len(p.idle) > p.cfg.MinIdle {
-		next = earlier(next, p.idle[0].used.Add(p.cfg.IdleTimeout))
+		next = earlier(next, p.idle[0].lastUsed.Add(p.cfg.IdleTimeout))
 	}
 	return max(next.Sub(now), time.Millisecond)
 }
@@ -413,15 +412,15 @@
 	return a
 }
 
-// shut fails the waiters and closes the idle connections.
-func (p *Pool[T]) shut() {
+// shutDown fails the waiters and closes the idle connections.
+func (p *Pool[T]) shutDown() {
 	p.mu.Lock()
 	p.closed = true
 	waiters, idle := p.waiters, p.idle
 	p.waiters, p.idle = nil, nil
 	p.mu.Unlock()
 	for _, w := range waiters {
-		w.ready <- outcome[T]{err: ErrClosed}
+		w.ready <- getResult[T]{err: ErrClosed}
 	}
 	for _, e := range idle {
 		p.close(e)
--- a/core/pool/pool_test.go
+++ b/core/pool/pool_test.go
@@ -19,11 +19,11 @@
 	errDown = errors.New("connection refused")
 )
 
-// server is the other side of a pool: it counts connections and fails on demand.
+// server is the other side of a pool: it counts connections and can be made to fail.
 type server struct {
-	open, most, dials atomic.Int32
-	dialErr           atomic.Pointer[error]
-	silent            atomic.Bool
+	open, maxOpen, dials atomic.Int32
+	dialErr              atomic.Pointer[error]
+	silent               atomic.Bool
 }
 
 type conn struct{ closed atomic.Bool }
@@ -38,8 +38,8 @@
 	if err := s.dialErr.Load(); err != nil {
 		return nil, *err
 	}
-	if n := s.open.Add(1); n > s.most.Load() {
-		s.most.Store(n)
+	if n := s.open.Add(1); n > s.maxOpen.Load() {
+		s.maxOpen.Store(n)
 	}
 	return &conn{}, nil
 }
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// run runs the scenario on the fake clock and checks that the pool leaves nothing behind.
-func run(t *testing.T, cfg Config[*conn], scenario func(t *testing.T, p *Pool[*conn], s *server)) {
+// runScenario runs the scenario on the fake clock and checks that the pool closes all connections.
+func runScenario(t *testing.T, cfg Config[*conn], scenario func(t *testing.T, p *Pool[*conn], s *server)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := &server{}
@@ -78,9 +78,9 @@
 	})
 }
 
-// Guards against requests that pay for a connection's set-up although a reserve is configured.
-func TestWarmReserve(t *testing.T) {
-	run(t, Config[*conn]{Limit: 8, MinIdle: 3}, func(t *testing.T, p *Pool[*conn], _ *server) {
+// Guards against requests that wait for a dial although idle connections are configured.
+func TestMinIdleConnections(t *testing.T) {
+	runScenario(t, Config[*conn]{Limit: 8, MinIdle: 3}, func(t *testing.T, p *Pool[*conn], _ *server) {
 		time.Sleep(2 * dialTime)
 		for range 20 {
 			start := time.Now()
@@ -93,9 +93,9 @@
 	})
 }
 
-// Guards against waiters that hang when nothing can be dialed, and against a storm of dials.
+// Guards against waiters that block although no dial succeeds, and against dialing without a backoff.
 func TestDialErrorReachesWaiters(t *testing.T) {
-	run(t, Config[*conn]{Limit: 4, MinIdle: 1}, func(t *testing.T, p *Pool[*conn], s *server) {
+	runScenario(t, Config[*conn]{Limit: 4, MinIdle: 1}, func(t *testing.T, p *Pool[*conn], s *server) {
 		s.dialErr.Store(&errDown)
 		start := time.Now()
 		for range 200 {
@@ -113,9 +113,9 @@
 	})
 }
 
-// Guards against a failure at the connection limit although a connection in use comes back soon.
+// Guards against failing at the connection limit although a connection in use is returned soon.
 func TestRefusalWaitsForConnectionInUse(t *testing.T) {
-	run(t, Config[*conn]{Limit: 4}, func(t *testing.T, p *Pool[*conn], s *server) {
+	runScenario(t, Config[*conn]{Limit: 4}, func(t *testing.T, p *Pool[*conn], s *server) {
 		h, err := p.Get(t.Context())
 		assert.NilError(t, err)
 		s.dialErr.Store(&errFull)
@@ -128,20 +128,19 @@
 	})
 }
 
-// Guards against a connection that went silent while idle and then costs a request its time.
+// Guards against handing out an idle connection that no longer answers.
 func TestHeartbeatClosesSilentConnections(t *testing.T) {
-	run(t, Config[*conn]{Limit: 4, MinIdle: 2}, func(t *testing.T, p *Pool[*conn], s *server) {
+	runScenario(t, Config[*conn]{Limit: 4, MinIdle: 2}, func(t *testing.T, p *Pool[*conn], s *server) {
 		time.Sleep(time.Second)
 		s.silent.Store(true)
-		time.Sleep(defaultHeartbeat + defaultHeartbeatTime)
+		time.Sleep(defaultHeartbeatInterval + defaultHeartbeatTimeout)
 		assert.Assert(t, s.dials.Load() >= 4, "%d dials", s.dials.Load())
 	})
 }
 
-// Guards against connections above the reserve that are kept forever.
-// Guards against a request that takes a silent connection just after another one was found silent.
-func TestDiscardPutsIdleConnectionsInDoubt(t *testing.T) {
-	run(t, Config[*conn]{Limit: 8, MinIdle: 3, HeartbeatInterval: time.Minute}, func(t *testing.T, p *Pool[*conn], s *server) {
+// Guards against handing out a dead connection just after another one was found dead.
+func TestDiscardChecksIdleConnections(t *testing.T) {
+	runScenario(t, Config[*conn]{Limit: 8, MinIdle: 3, HeartbeatInterval: time.Minute}, func(t *testing.T, p *Pool[*conn], s *server) {
 		time.Sleep(time.Second)
 		h, ok := p.TryGet()
 		assert.Assert(t, ok)
@@ -162,8 +161,9 @@
 	})
 }
 
+// Guards against connections in excess of MinIdle that are never closed.
 func TestIdleExpiry(t *testing.T) {
-	run(t, Config[*conn]{Limit: 6, MinIdle: 2}, func(t *testing.T, p *Pool[*conn], s *server) {
+	runScenario(t, Config[*conn]{Limit: 6, MinIdle: 2}, func(t *testing.T, p *Pool[*conn], s *server) {
 		var handles []*Handle[*conn]
 		for range 6 {
 			h, err := p.Get(t.Context())
@@ -173,14 +173,14 @@
 		for _, h := range handles {
 			h.Put()
 		}
-		time.Sleep(defaultIdleTime + 2*defaultHeartbeat)
+		time.Sleep(defaultIdleTimeout + 2*defaultHeartbeatInterval)
 		assert.Equal(t, s.open.Load(), int32(2))
 	})
 }
 
-// Guards against a late Put or Discard of a former user that ends the use of the present one.
+// Guards against a late Put or Discard of a former user that ends the use of the current one.
 func TestHandleEndsOnce(t *testing.T) {
-	run(t, Config[*conn]{Limit: 1}, func(t *testing.T, p *Pool[*conn], _ *server) {
+	runScenario(t, Config[*conn]{Limit: 1}, func(t *testing.T, p *Pool[*conn], _ *server) {
 		first, err := p.Get(t.Context())
 		assert.NilError(t, err)
 		first.Put()
@@ -193,29 +193,28 @@
 	})
 }
 
-// Guards against more connections than the limit and against leaks, under any mix of use, failure
-// and impatient callers.
-func TestLimitHolds(t *testing.T) {
+// Guards against exceeding the limit and against leaks, under any mix of use, failures and timeouts.
+func TestPoolLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limit := rapid.IntRange(1, 5).Draw(rt, "limit")
 		warm := rapid.IntRange(0, 3).Draw(rt, "warm")
 		type use struct {
-			patience, hold int
-			failed         bool
+			timeout, hold int
+			failed        bool
 		}
 		uses := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) use {
 			return use{
-				patience: rapid.IntRange(1, 200).Draw(rt, "patience"),
-				hold:     rapid.IntRange(0, 60).Draw(rt, "hold"),
-				failed:   rapid.Bool().Draw(rt, "failed"),
+				timeout: rapid.IntRange(1, 200).Draw(rt, "timeout"),
+				hold:    rapid.IntRange(0, 60).Draw(rt, "hold"),
+				failed:  rapid.Bool().Draw(rt, "failed"),
 			}
 		}), 1, 30).Draw(rt, "uses")
-		run(t, Config[*conn]{Limit: limit, MinIdle: warm}, func(t *testing.T, p *Pool[*conn], s *server) {
+		runScenario(t, Config[*conn]{Limit: limit, MinIdle: warm}, func(t *testing.T, p *Pool[*conn], s *server) {
 			ended := make(chan struct{})
 			for _, u := range uses {
 				go func() {
 					defer func() { ended <- struct{}{} }()
-					ctx, cancel := context.WithTimeout(t.Context(), time.Duration(u.patience)*time.Millisecond)
+					ctx, cancel := context.WithTimeout(t.Context(), time.Duration(u.timeout)*time.Millisecond)
 					defer cancel()
 					h, err := p.Get(ctx)
 					if err != nil {
@@ -232,7 +231,7 @@
 			for range uses {
 				<-ended
 			}
-			assert.Assert(t, s.most.Load() <= int32(limit), "%d connections, limit %d", s.most.Load(), limit)
+			assert.Assert(t, s.maxOpen.Load() <= int32(limit), "%d connections, limit %d", s.maxOpen.Load(), limit)
 			assert.Equal(t, p.Stats().InUse, 0)
 			assert.Equal(t, p.Stats().Waiting, 0)
 		})
@@ -241,8 +240,8 @@
 
 // Guards against a start at which all waiting requests dial at once: each dial occupies a slot of an
 // upstream for 12 to 27 ms, several times as long as a statement.
-func TestGradualDials(t *testing.T) {
-	run(t, Config[*conn]{Limit: 4, SlowStart: true}, func(t *testing.T, p *Pool[*conn], s *server) {
+func TestSlowStart(t *testing.T) {
+	runScenario(t, Config[*conn]{Limit: 4, SlowStart: true}, func(t *testing.T, p *Pool[*conn], s *server) {
 		ended := make(chan struct{})
 		for range 4 {
 			go func() {
