--- a/core/queue/base.go
+++ b/core/queue/base.go
@@ -6,8 +6,8 @@
 	"snipewall/core"
 )
 
-// base is what all schedulers have in common: the kinds, the slots, the limits of the rows and the
-// bounded time in the queue. A scheduler adds the order.
+// base is the common part of all schedulers: the kinds, the slots, the limits of the table rows and the
+// maximum time in the queue. A scheduler adds the order.
 type base struct {
 	occupancy
 	kinds
@@ -26,39 +26,39 @@
 	return b
 }
 
-// Add lets the item wait, or refuses it.
+// Add queues the item or refuses it.
 func (b *base) Add(now time.Time, it *Item) *Refusal {
 	k := b.find(it)
 	it.arrived = now
 	it.state = k
-	it.latest = k.latest(now, it)
-	if !now.Before(it.latest) {
+	it.latestStart = k.latestStart(now, it)
+	if !now.Before(it.latestStart) {
 		return &Refusal{Reason: "the deadline has passed"}
 	}
 	if k.waiting() >= b.maxWaiting {
-		return &Refusal{Reason: "the queue is full", RetryAfter: it.latest.Sub(now)}
+		return &Refusal{Reason: "the queue is full", RetryAfter: it.latestStart.Sub(now)}
 	}
-	k.line(it).push(it)
+	k.fifoFor(it).push(it)
 	return nil
 }
 
-// Remove takes out a waiting item.
+// Remove removes a waiting item and reports whether it waited.
 func (b *base) Remove(it *Item) bool {
-	return it.state != nil && it.state.line(it).remove(it)
+	return it.state != nil && it.state.fifoFor(it).remove(it)
 }
 
-// Expire takes out the items that can't start in time any more.
+// Expire removes and returns the items that can no longer start in time.
 func (b *base) Expire(now time.Time) []*Item {
 	var late []*Item
 	for _, k := range b.list {
-		late = k.inTx.dropLate(now, late)
-		late = k.opens.dropLate(now, late)
-		late = k.plain.dropLate(now, late)
+		late = k.inTx.dropExpired(now, late)
+		late = k.newTx.dropExpired(now, late)
+		late = k.single.dropExpired(now, late)
 	}
 	return late
 }
 
-// Dump returns the state.
+// Dump returns a snapshot for status output.
 func (b *base) Dump() State {
 	return State{
 		Slots:            b.slots,
@@ -69,34 +69,33 @@
 	}
 }
 
-// take starts the waiting item.
-func (b *base) take(now time.Time, it *Item) {
+func (b *base) startItem(now time.Time, it *Item) {
 	k := it.state
-	k.line(it).remove(it)
+	k.fifoFor(it).remove(it)
 	k.running++
 	k.rate.take(k.policy.Rate)
 	it.rank = k.policy.Rank
-	it.estimate = k.service.value()
+	it.estimate = k.serviceTime.value()
 	b.start(now, it)
 }
 
-// finish ends a started item and returns its service time.
+// finish frees the slot of a started item and returns its service time.
 func (b *base) finish(now time.Time, it *Item, ran bool) time.Duration {
 	service := now.Sub(it.started)
 	b.running--
 	it.state.running--
 	if ran {
-		it.state.service.add(service)
+		it.state.serviceTime.add(service)
 	}
 	return service
 }
 
-// candidate returns the item that the kind would start now, or nil.
+// candidate returns the item of the kind that would start now, or nil.
 func (b *base) candidate(now time.Time, k *kindState) *Item {
-	if k.waiting() == 0 || !k.mayStart(now) {
+	if k.waiting() == 0 || !k.canStart(now) {
 		return nil
 	}
-	return k.next(b.mayOpen())
+	return k.next(b.canOpenTx())
 }
 
 // oldest returns the candidate that arrived first among the kinds that the filter admits.
@@ -114,7 +113,7 @@
 	return first
 }
 
-// ranksWaiting tells which ranks have work that the filter admits.
+// ranksWaiting reports which ranks have a kind that the filter admits.
 func (b *base) ranksWaiting(admit func(k *kindState) bool) [core.RankCount]bool {
 	var ranks [core.RankCount]bool
 	for _, k := range b.list {
--- a/core/queue/baseline.go
+++ b/core/queue/baseline.go
@@ -6,21 +6,21 @@
 	"snipewall/core"
 )
 
-// FCFS is a baseline: first-come first-served.
+// FCFS is a baseline: first come, first served.
 type FCFS struct{ base }
 
-// NewFCFS returns a first-come first-served scheduler.
+// NewFCFS returns a first-come-first-served scheduler.
 func NewFCFS(cfg Config) *FCFS { return &FCFS{newBase(cfg)} }
 
-// Next takes the oldest item.
+// Next starts the oldest item.
 func (s *FCFS) Next(now time.Time) *Item {
-	if s.full() {
+	if s.isFull() {
 		return nil
 	}
 	s.refresh()
 	it := s.oldest(now, func(*kindState) bool { return true })
 	if it != nil {
-		s.take(now, it)
+		s.startItem(now, it)
 	}
 	return it
 }
@@ -31,19 +31,19 @@
 // StrictPriority is a baseline: the most urgent rank with waiting work always goes first.
 type StrictPriority struct{ base }
 
-// NewStrictPriority returns a scheduler of strict priority.
+// NewStrictPriority returns a strict priority scheduler.
 func NewStrictPriority(cfg Config) *StrictPriority { return &StrictPriority{newBase(cfg)} }
 
-// Next takes the oldest item of the most urgent rank.
+// Next starts the oldest item of the most urgent rank.
 func (s *StrictPriority) Next(now time.Time) *Item {
-	if s.full() {
+	if s.isFull() {
 		return nil
 	}
 	s.refresh()
 	for r := range core.Rank(core.RankCount) {
 		it := s.oldest(now, func(k *kindState) bool { return k.policy.Rank == r })
 		if it != nil {
-			s.take(now, it)
+			s.startItem(now, it)
 			return it
 		}
 	}
@@ -53,20 +53,20 @@
 // Done ends an item.
 func (s *StrictPriority) Done(now time.Time, it *Item, ran bool) { s.finish(now, it, ran) }
 
-// EqualShares is a baseline: each rank gets a fixed, equal share of the slot time while it has work
-// waiting. What a rank doesn't use is spread over the others.
+// EqualShares is a baseline: each rank gets an equal share of the slot time while it has work waiting.
+// What a rank doesn't use is divided among the others.
 type EqualShares struct {
 	base
 	served [core.RankCount]time.Duration
 	busy   [core.RankCount]bool
 }
 
-// NewEqualShares returns a scheduler of equal shares.
+// NewEqualShares returns a scheduler with equal shares.
 func NewEqualShares(cfg Config) *EqualShares { return &EqualShares{base: newBase(cfg)} }
 
-// Next takes the oldest item of the rank that was served least.
+// Next starts the oldest item of the rank that got the least slot time.
 func (s *EqualShares) Next(now time.Time) *Item {
-	if s.full() {
+	if s.isFull() {
 		return nil
 	}
 	s.refresh()
@@ -82,13 +82,13 @@
 		return nil
 	}
 	it := s.oldest(now, func(k *kindState) bool { return k.policy.Rank == core.Rank(best) })
-	s.take(now, it)
+	s.startItem(now, it)
 	s.served[best] += it.estimate
 	return it
 }
 
-// join lets a rank that had no work start level with the others, so that it has no claim on the
-// time at which it was idle.
+// join gives a rank that had no work the lowest served time of the busy ranks, so that it has no claim
+// on the time in which it was idle.
 func (s *EqualShares) join(waiting [core.RankCount]bool) {
 	least := time.Duration(-1)
 	for r := range waiting {
--- a/core/queue/doc.go
+++ b/core/queue/doc.go
@@ -1,13 +1,13 @@
-// Package queue is the admission queue of one upstream. It decides which request gets one of the
-// upstream's slots next, and refuses requests that can't start in time.
+// Package queue is the admission queue of one upstream. It decides which request gets the next of the
+// upstream's slots, and refuses requests that can't start in time.
 //
-// A Scheduler is the decision logic: a plain state machine that is told the time with each call, so
-// that simulations drive the same code as the proxy. Shares is the scheduler of the proxy; FCFS,
-// Strict and Equal are baselines for comparison. Queue makes a scheduler usable by concurrent
-// requests.
+// A Scheduler is the decision logic. It is a plain state machine that gets the time with each call,
+// so that simulations run the same code as the proxy. Shares is the scheduler of the proxy; FCFS,
+// StrictPriority and EqualShares are baselines for comparison. Queue makes a scheduler usable by
+// concurrent requests.
 //
-// Shares reads the operators' table at each decision, so that a changed row is in force for the
-// requests that already wait. A request of a kind without a row counts as one of its own rank.
+// Shares reads the operators' table at each decision, so that a changed row also applies to waiting
+// requests. A request of a kind without a row counts towards the rank that it names.
 //
 // # Usage
 //
--- a/core/queue/estimate.go
+++ b/core/queue/estimate.go
@@ -8,9 +8,9 @@
 const (
 	// estimateWeight is the weight of a new sample in the moving average.
 	estimateWeight = 0.1
-	// estimateGrowth limits a sample to a multiple of the average, so that a single stalled
-	// statement doesn't make the whole kind look long.
-	estimateGrowth = 8
+	// maxSampleGrowth limits a sample to a multiple of the average, so that a single stalled statement
+	// doesn't make the whole kind count as long.
+	maxSampleGrowth = 8
 )
 
 // estimate is a moving average of service times.
@@ -24,7 +24,7 @@
 		e.mean, e.known = d, true
 		return
 	}
-	d = min(d, estimateGrowth*max(e.mean, time.Millisecond))
+	d = min(d, maxSampleGrowth*max(e.mean, time.Millisecond))
 	e.mean += time.Duration(estimateWeight * float64(d-e.mean))
 }
 
@@ -35,8 +35,8 @@
 	return e.mean
 }
 
-// meterTime is the time over which a meter averages.
-const meterTime = time.Second
+// meterWindow is the time constant of a meter.
+const meterWindow = time.Second
 
 // meter measures slot time per second, with exponential decay.
 type meter struct {
@@ -53,8 +53,8 @@
 	if m.sum == 0 {
 		return 0
 	}
-	return time.Duration(float64(m.sum) * math.Exp(-float64(now.Sub(m.at))/float64(meterTime)))
+	return time.Duration(float64(m.sum) * math.Exp(-float64(now.Sub(m.at))/float64(meterWindow)))
 }
 
-// slots returns the average number of slots that were occupied.
-func (m *meter) slots(now time.Time) float64 { return float64(m.value(now)) / float64(meterTime) }
+// slots returns the average number of occupied slots.
+func (m *meter) slots(now time.Time) float64 { return float64(m.value(now)) / float64(meterWindow) }
--- a/core/queue/kind.go
+++ b/core/queue/kind.go
@@ -8,51 +8,51 @@
 	"snipewall/core"
 )
 
-// kindState is what a scheduler knows about one kind.
+// kindState is a scheduler's state of one kind.
 type kindState struct {
 	policy core.KindPolicy
-	// Waiting items by what they need: a statement of an open transaction, a new transaction, or
-	// just a slot.
-	inTx, opens, plain fifo
-	running            int
-	service            estimate
-	opening            opening
-	// vtime is the slot time served per weight, the kind's virtual time within its rank.
+	// Waiting items: statements of open transactions, first statements of new transactions, and single
+	// statements.
+	inTx, newTx, single fifo
+	running             int
+	serviceTime         estimate
+	txAdmission         txAdmission
+	// vtime is the virtual time of the kind within its rank: its slot time divided by its weight.
 	vtime time.Duration
-	rate  bucket
-	// overAt is when a request was refused last because of its expected wait.
-	overAt time.Time
-	// served is the slot time that the kind got recently.
-	served meter
+	rate  tokenBucket
+	// refusedAt is when a request was last refused because of its expected wait.
+	refusedAt time.Time
+	// recentSlotTime measures the slot time of the kind.
+	recentSlotTime meter
 }
 
-func (k *kindState) waiting() int { return len(k.inTx) + len(k.opens) + len(k.plain) }
+func (k *kindState) waiting() int { return len(k.inTx) + len(k.newTx) + len(k.single) }
 
-func (k *kindState) line(it *Item) *fifo {
+func (k *kindState) fifoFor(it *Item) *fifo {
 	switch {
 	case it.InTx:
 		return &k.inTx
 	case it.OpensTx:
-		return &k.opens
+		return &k.newTx
 	}
-	return &k.plain
+	return &k.single
 }
 
-// mayStart reports whether the row's limits admit one more item.
-func (k *kindState) mayStart(now time.Time) bool {
+// canStart reports whether the row's limits admit one more item.
+func (k *kindState) canStart(now time.Time) bool {
 	if k.policy.Concurrency > 0 && k.running >= k.policy.Concurrency {
 		return false
 	}
 	return k.rate.available(now, k.policy.Rate)
 }
 
-// next returns the waiting item that starts first: statements of open transactions, then by age.
-func (k *kindState) next(mayOpen bool) *Item {
+// next returns the item to start first: statements of open transactions, then the oldest.
+func (k *kindState) next(canOpenTx bool) *Item {
 	if it := k.inTx.head(); it != nil {
 		return it
 	}
-	a, b := k.plain.head(), k.opens.head()
-	if b == nil || !mayOpen {
+	a, b := k.single.head(), k.newTx.head()
+	if b == nil || !canOpenTx {
 		return a
 	}
 	if a == nil || b.arrived.Before(a.arrived) {
@@ -61,21 +61,21 @@
 	return a
 }
 
-// nextSingleFirst returns the waiting item that starts first: statements of open transactions, then
-// single statements, unless a new transaction is due.
-func (k *kindState) nextSingleFirst(mayOpen bool) *Item {
+// nextSingleFirst returns the item to start first: statements of open transactions, then single
+// statements, unless a new transaction is due.
+func (k *kindState) nextSingleFirst(canOpenTx bool) *Item {
 	if it := k.inTx.head(); it != nil {
 		return it
 	}
-	a, b := k.plain.head(), k.opens.head()
-	if b == nil || !mayOpen || (a != nil && !k.opening.isDue(k.service.value())) {
+	a, b := k.single.head(), k.newTx.head()
+	if b == nil || !canOpenTx || (a != nil && !k.txAdmission.isDue(k.serviceTime.value())) {
 		return a
 	}
 	return b
 }
 
-// bucket is a token bucket for a rate that may change at any time.
-type bucket struct {
+// tokenBucket is a token bucket with a rate that may change at any time.
+type tokenBucket struct {
 	tokens float64
 	at     time.Time
 }
@@ -83,8 +83,8 @@
 // rateBurst is the time over which a kind's rate is averaged.
 const rateBurst = 100 * time.Millisecond
 
-// available reports whether a token is there. A rate of 0 has no limit.
-func (b *bucket) available(now time.Time, rate float64) bool {
+// available refills the bucket and reports whether it has a token. A rate of 0 means no limit.
+func (b *tokenBucket) available(now time.Time, rate float64) bool {
 	if rate <= 0 {
 		return true
 	}
@@ -98,17 +98,17 @@
 	return b.tokens >= 1
 }
 
-func (b *bucket) take(rate float64) {
+func (b *tokenBucket) take(rate float64) {
 	if rate > 0 {
 		b.tokens--
 	}
 }
 
-// kinds holds the states by kind and keeps their rows up to date.
+// kinds holds the state of each kind and keeps its table row up to date.
 type kinds struct {
 	policies core.Policies
 	states   map[core.Kind]*kindState
-	// list has the same states in a fixed order, so that decisions are reproducible.
+	// list holds the same states in a fixed order, so that decisions are reproducible.
 	list []*kindState
 }
 
@@ -116,16 +116,16 @@
 	return kinds{policies: policies, states: make(map[core.Kind]*kindState)}
 }
 
-// unlisted names the common state of all kinds of the rank that have no row, so that made-up names
-// don't fill the memory.
-func unlisted(r core.Rank) core.Kind { return core.Kind("unlisted/" + r.String()) }
+// unlistedKind is the kind that all kinds of the rank without a row share, so that arbitrary names of
+// kinds don't use up memory.
+func unlistedKind(r core.Rank) core.Kind { return core.Kind("unlisted/" + r.String()) }
 
-// find returns the state of the item's kind.
+// find returns the state of the item's kind and creates it if necessary.
 func (ks *kinds) find(it *Item) *kindState {
 	policy, ok := ks.policies.Policy(it.Kind)
 	if !ok {
 		rank := min(it.Rank, core.RankLast)
-		policy = core.KindPolicy{Kind: unlisted(rank), Rank: rank}
+		policy = core.KindPolicy{Kind: unlistedKind(rank), Rank: rank}
 	}
 	if k, ok := ks.states[policy.Kind]; ok {
 		k.policy = policy
@@ -140,7 +140,8 @@
 	return k
 }
 
-// refresh reads the rows of all kinds that have work waiting. A kind whose row is gone keeps it.
+// refresh reads the rows of all kinds with waiting work. A kind whose row was deleted keeps its last
+// one.
 func (ks *kinds) refresh() {
 	for _, k := range ks.list {
 		if k.waiting() == 0 {
@@ -152,8 +153,8 @@
 	}
 }
 
-// latest returns the last useful start of an item that arrived at now.
-func (k *kindState) latest(now time.Time, it *Item) time.Time {
+// latestStart returns the latest useful start of an item that arrived at now.
+func (k *kindState) latestStart(now time.Time, it *Item) time.Time {
 	queueTime := k.policy.QueueTime
 	if queueTime <= 0 {
 		queueTime = defaultQueueTime
@@ -168,7 +169,7 @@
 // Estimate returns the expected service time of the kind.
 func (ks *kinds) Estimate(kind core.Kind) time.Duration {
 	if k, ok := ks.states[kind]; ok {
-		return k.service.value()
+		return k.serviceTime.value()
 	}
 	return defaultService
 }
@@ -182,7 +183,6 @@
 	return n
 }
 
-// dump returns the states of the kinds.
 func (ks *kinds) dump() []KindState {
 	var out []KindState
 	for _, k := range ks.list {
@@ -191,7 +191,7 @@
 			Rank:      k.policy.Rank.String(),
 			Waiting:   k.waiting(),
 			Running:   k.running,
-			ServiceMs: float64(k.service.value()) / float64(time.Millisecond),
+			ServiceMs: float64(k.serviceTime.value()) / float64(time.Millisecond),
 		})
 	}
 	return out
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -8,22 +8,22 @@
 	"snipewall/core"
 )
 
-// sweepTime is the time between two looks at the waiting items without any other event.
-const sweepTime = 10 * time.Millisecond
+// sweepInterval is the time between two checks of the waiting items without any other event.
+const sweepInterval = 10 * time.Millisecond
 
-// farFuture is beyond the deadline of any request.
+// farFuture is later than the deadline of any request.
 const farFuture = 1000 * time.Hour
 
-// Queue is a scheduler for concurrent requests. It is safe for concurrent use.
+// Queue makes a Scheduler usable by concurrent requests. It is safe for concurrent use.
 type Queue struct {
 	wake chan struct{}
 
-	mu    sync.Mutex
-	sched Scheduler
-	ended bool
+	mu     sync.Mutex
+	sched  Scheduler
+	closed bool
 }
 
-// New returns a queue on the scheduler, which must not be used otherwise from then on.
+// New returns a queue with the scheduler, which must not be used by anything else.
 func New(s Scheduler) *Queue {
 	return &Queue{sched: s, wake: make(chan struct{}, 1)}
 }
@@ -38,8 +38,8 @@
 // Waited returns the time that the request spent in the queue.
 func (s *Slot) Waited() time.Duration { return s.it.Waited() }
 
-// Release frees the slot. ran tells whether a statement ran to its end, so that the service time is
-// valid for estimates. Later calls have no effect.
+// Release frees the slot. ran tells whether a statement ran to completion, so that its service time
+// counts in the estimate. Later calls have no effect.
 func (s *Slot) Release(ran bool) {
 	s.once.Do(func() {
 		q := s.q
@@ -51,8 +51,8 @@
 	})
 }
 
-// Acquire waits for a slot. Its errors are *Refusal and the context's error; in both cases nothing
-// has run.
+// Acquire waits for a slot. Its errors are *Refusal and the context's error; in both cases nothing has
+// run.
 func (q *Queue) Acquire(ctx context.Context, it *Item) (*Slot, error) {
 	it.ready = make(chan struct{})
 	if refusal := q.add(it); refusal != nil {
@@ -72,20 +72,20 @@
 	s := &Slot{q: q, it: it}
 	if err := ctx.Err(); err != nil {
 		s.Release(false)
-		q.undoOpen(it)
+		q.undoOpenTx(it)
 		return nil, err
 	}
 	return s, nil
 }
 
-// BeginTx counts a transaction that was opened by a request that didn't announce it.
+// BeginTx counts a transaction that was opened by an item without OpensTx.
 func (q *Queue) BeginTx() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.sched.BeginTx()
 }
 
-// EndTx stops counting a transaction: one that BeginTx counted, or that of an item with Opens that
+// EndTx stops counting a transaction: one that BeginTx counted, or that of an item with OpensTx that
 // got a slot.
 func (q *Queue) EndTx() {
 	q.mu.Lock()
@@ -101,39 +101,39 @@
 	return q.sched.Estimate(kind)
 }
 
-// Dump returns the state.
+// Dump returns a snapshot for status output.
 func (q *Queue) Dump() State {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.sched.Dump()
 }
 
-// Run refuses requests that can't start in time, and starts those that a rate held back, until ctx
-// ends. It then refuses everything that waits.
+// Run refuses requests that can no longer start in time, and starts those that a rate limit delayed,
+// until ctx ends. It then refuses all waiting requests.
 func (q *Queue) Run(ctx context.Context) error {
-	timer := time.NewTimer(sweepTime)
+	timer := time.NewTimer(sweepInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			q.shut()
+			q.shutDown()
 			return nil
 		case <-q.wake:
 		case <-timer.C:
 		}
 		if q.sweep() {
-			timer.Reset(sweepTime)
+			timer.Reset(sweepInterval)
 		} else {
 			timer.Stop()
 		}
 	}
 }
 
-// add lets the item wait and starts what may start.
+// add queues the item and starts all items that can start.
 func (q *Queue) add(it *Item) *Refusal {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.ended {
+	if q.closed {
 		return &Refusal{Reason: "the queue has ended"}
 	}
 	now := time.Now()
@@ -154,14 +154,14 @@
 	return q.sched.Remove(it)
 }
 
-// undoOpen stops counting the transaction that an item was to open.
-func (q *Queue) undoOpen(it *Item) {
+// undoOpenTx stops counting the transaction of an item that was started but not used.
+func (q *Queue) undoOpenTx(it *Item) {
 	if it.OpensTx {
 		q.EndTx()
 	}
 }
 
-// sweep refuses late items and reports whether any others wait.
+// sweep refuses late items and reports whether others still wait.
 func (q *Queue) sweep() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -169,11 +169,10 @@
 	return q.sched.Waiting() > 0
 }
 
-// shut refuses all waiting items.
-func (q *Queue) shut() {
+func (q *Queue) shutDown() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ended = true
+	q.closed = true
 	for _, it := range q.sched.Expire(time.Now().Add(farFuture)) {
 		close(it.ready)
 	}
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -12,7 +12,7 @@
 	"snipewall/core"
 )
 
-// rows is a table that a test can change.
+// rows is a policy table that a test can change.
 type rows map[core.Kind]core.KindPolicy
 
 func (r rows) Policy(kind core.Kind) (core.KindPolicy, bool) {
@@ -31,8 +31,8 @@
 	}
 }
 
-// run runs the scenario on the fake clock with a queue of the proxy's scheduler.
-func run(t *testing.T, cfg Config, scenario func(t *testing.T, q *Queue)) {
+// runScenario runs the scenario on the fake clock with a Shares scheduler.
+func runScenario(t *testing.T, cfg Config, scenario func(t *testing.T, q *Queue)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		q := New(NewShares(cfg))
@@ -45,22 +45,22 @@
 	})
 }
 
-// Guards against a request that waits beyond its time in the queue.
+// Guards against a request that waits longer than its queue time.
 func TestQueueTimeIsBounded(t *testing.T) {
-	run(t, Config{Slots: 1, Policies: testRows()}, func(t *testing.T, q *Queue) {
+	runScenario(t, Config{Slots: 1, Policies: testRows()}, func(t *testing.T, q *Queue) {
 		slot, err := q.Acquire(t.Context(), &Item{Kind: "report"})
 		assert.NilError(t, err)
 		start := time.Now()
 		_, err = q.Acquire(t.Context(), &Item{Kind: "book"})
 		var refusal *Refusal
 		assert.Assert(t, errors.As(err, &refusal), "%v", err)
-		assert.Assert(t, time.Since(start) <= time.Second+2*sweepTime)
+		assert.Assert(t, time.Since(start) <= time.Second+2*sweepInterval)
 		slot.Release(true)
 		assert.Equal(t, q.Dump().Running, 0)
 	})
 }
 
-// serve occupies a slot for d once it gets one.
+// serve waits for a slot and occupies it for d.
 func serve(q *Queue, it *Item, d time.Duration) error {
 	slot, err := q.Acquire(context.Background(), it)
 	if err != nil {
@@ -71,10 +71,10 @@
 	return nil
 }
 
-// Guards against callers that learn only at the end of their time in the queue that they had no
-// chance, and against a kind that stays refused once its estimate is too high.
-func TestHopelessRequestsAreRefusedAtOnce(t *testing.T) {
-	run(t, Config{Slots: 1, Policies: testRows()}, func(t *testing.T, q *Queue) {
+// Guards against requests that wait for their whole queue time although they can't start, and against
+// refusing a kind forever because its estimate is too high.
+func TestRequestsThatCannotStartAreRefusedImmediately(t *testing.T) {
+	runScenario(t, Config{Slots: 1, Policies: testRows()}, func(t *testing.T, q *Queue) {
 		assert.NilError(t, serve(q, &Item{Kind: "book"}, 100*time.Millisecond))
 		const offered = 30
 		ended := make(chan time.Duration, offered)
@@ -99,19 +99,19 @@
 			}
 		}
 		// One runs, ten can be served within the second that they may wait, and the last of them is
-		// at the margin.
+		// borderline.
 		assert.Equal(t, atOnce, offered-12)
 		assert.Assert(t, late <= 1, "%d refused late", late)
-		// One statement that took far longer than the queue's time doesn't keep others out.
+		// A statement that took much longer than the queue time doesn't keep others out.
 		assert.NilError(t, serve(q, &Item{Kind: "quote"}, time.Minute))
 		assert.NilError(t, serve(q, &Item{Kind: "quote"}, time.Millisecond))
 	})
 }
 
-// Guards against long statements that occupy all slots while pedestals or technicians need one, and
-// against a slot that stays unused when nobody urgent is there.
-func TestLongStatementsLeaveASlot(t *testing.T) {
-	run(t, Config{Slots: 2, Policies: testRows()}, func(t *testing.T, q *Queue) {
+// Guards against long statements that occupy all slots while the urgent rank needs one, and against a
+// slot that stays unused while the urgent rank is inactive.
+func TestLongStatementsLeaveOneSlot(t *testing.T) {
+	runScenario(t, Config{Slots: 2, Policies: testRows()}, func(t *testing.T, q *Queue) {
 		assert.NilError(t, serve(q, &Item{Kind: "report"}, time.Minute))
 		assert.NilError(t, serve(q, &Item{Kind: "book"}, time.Millisecond))
 		ended := make(chan error, 2)
@@ -126,7 +126,7 @@
 		for range 2 {
 			assert.NilError(t, <-ended)
 		}
-		time.Sleep(2 * urgentInUse)
+		time.Sleep(2 * urgentActiveTime)
 		for range 2 {
 			go func() { ended <- serve(q, &Item{Kind: "report"}, 500*time.Millisecond) }()
 			synctest.Wait()
@@ -138,10 +138,10 @@
 	})
 }
 
-// Guards against a standing queue: in an overload each request that is served would have waited for
-// nearly its whole time in the queue.
+// Guards against a standing queue: in an overload, each served request would have waited for nearly its
+// whole queue time.
 func TestOverloadKeepsTheQueueShort(t *testing.T) {
-	run(t, Config{Slots: 1, Policies: testRows()}, func(t *testing.T, q *Queue) {
+	runScenario(t, Config{Slots: 1, Policies: testRows()}, func(t *testing.T, q *Queue) {
 		const service = 10 * time.Millisecond
 		ended := make(chan struct{})
 		const offered = 2000
@@ -170,10 +170,10 @@
 	})
 }
 
-// Guards against requests that wait for the rest of their time although an upstream that stalls has
-// taken their chance.
+// Guards against requests that wait for the rest of their queue time although a stalled upstream can no
+// longer serve them.
 func TestWaitingRequestsAreRefusedEarly(t *testing.T) {
-	run(t, Config{Slots: 1, Policies: testRows()}, func(t *testing.T, q *Queue) {
+	runScenario(t, Config{Slots: 1, Policies: testRows()}, func(t *testing.T, q *Queue) {
 		assert.NilError(t, serve(q, &Item{Kind: "report"}, 100*time.Millisecond))
 		slot, err := q.Acquire(t.Context(), &Item{Kind: "report"})
 		assert.NilError(t, err)
@@ -189,15 +189,15 @@
 		}
 		assert.Assert(t, <-refused < 750*time.Millisecond)
 		for range waiting - 1 {
-			assert.Assert(t, <-refused <= time.Second+sweepTime)
+			assert.Assert(t, <-refused <= time.Second+sweepInterval)
 		}
 		slot.Release(false)
 	})
 }
 
-// Guards against requests that wait for their whole time although their row's limits alone keep
+// Guards against requests that wait for their whole queue time although the limits of their row keep
 // them from starting in time.
-func TestLimitsOfTheRowCountInTheExpectedWait(t *testing.T) {
+func TestExpectedWaitIncludesRowLimits(t *testing.T) {
 	limits := map[string]core.KindPolicy{
 		"rate":        {Rate: 10},
 		"concurrency": {Concurrency: 1},
@@ -207,7 +207,7 @@
 			table := testRows()
 			row.Kind, row.Rank, row.QueueTime = "quote", core.RankMiddle, time.Second
 			table["quote"] = row
-			run(t, Config{Slots: 8, Policies: table}, func(t *testing.T, q *Queue) {
+			runScenario(t, Config{Slots: 8, Policies: table}, func(t *testing.T, q *Queue) {
 				assert.NilError(t, serve(q, &Item{Kind: "quote"}, 100*time.Millisecond))
 				const offered = 40
 				ended := make(chan bool, offered)
--- a/core/queue/scheduler.go
+++ b/core/queue/scheduler.go
@@ -10,54 +10,54 @@
 const (
 	defaultQueueTime  = time.Second
 	defaultMaxWaiting = 4096
-	// defaultService is the expected service time of a kind that has not run yet.
+	// defaultService is the expected service time of a kind without a measurement.
 	defaultService = 5 * time.Millisecond
 )
 
-// Config describes the scheduler of one upstream.
+// Config configures the scheduler of one upstream. Policies is required.
 type Config struct {
-	// Slots is the number of statements that may execute at once.
+	// Slots is the maximum number of concurrent statements, at least 1.
 	Slots int
 	// MaxOpen limits the open transactions, since each one occupies a connection; 0 means no limit.
 	MaxOpen int
-	// MaxWaiting limits the waiting requests of one kind.
+	// MaxWaiting limits the waiting requests of one kind; 0 stands for 4096.
 	MaxWaiting int
 	// Policies is the operators' table.
 	Policies core.Policies
 }
 
-// Scheduler decides the order in which requests get slots. Its methods are called by one goroutine
-// at a time with a time that never goes back. Each item that Add accepts leaves through exactly one
-// of Next, Expire and Remove.
+// Scheduler decides the order in which requests get slots. It is used by one goroutine at a time, with
+// times that never decrease. Each item that Add accepts leaves through exactly one of Next, Expire and
+// Remove.
 type Scheduler interface {
-	// Add lets the item wait, or refuses it.
+	// Add queues the item or refuses it.
 	Add(now time.Time, it *Item) *Refusal
-	// Next takes the item that starts now, or returns nil if none may.
+	// Next removes and returns the item that starts now, or returns nil if none may start.
 	Next(now time.Time) *Item
 	// Done ends an item that Next returned. ran tells whether its service time is valid.
 	Done(now time.Time, it *Item, ran bool)
-	// Expire takes out the items that can't start in time any more.
+	// Expire removes and returns the items that can no longer start in time.
 	Expire(now time.Time) []*Item
-	// Remove takes out a waiting item and reports whether it waited.
+	// Remove removes a waiting item and reports whether it waited.
 	Remove(it *Item) bool
 	// Waiting returns the number of waiting items.
 	Waiting() int
-	// BeginTx and EndTx count open transactions. Next counts an item that opens one by itself.
+	// BeginTx and EndTx count open transactions. Next itself counts those of items with OpensTx.
 	BeginTx()
 	EndTx()
 	// Estimate returns the expected service time of the kind.
 	Estimate(kind core.Kind) time.Duration
-	// Dump returns the state.
+	// Dump returns a snapshot for status output.
 	Dump() State
 }
 
-// State shows a scheduler's state.
+// State is a snapshot of a scheduler for status output.
 type State struct {
 	Slots, Running, OpenTransactions, Waiting int
 	Kinds                                     []KindState `json:",omitempty"`
 }
 
-// KindState shows the state of one kind.
+// KindState is a snapshot of one kind.
 type KindState struct {
 	Kind    core.Kind
 	Rank    string
@@ -73,10 +73,10 @@
 	running, open  int
 }
 
-func (o *occupancy) full() bool    { return o.running >= o.slots }
-func (o *occupancy) mayOpen() bool { return o.maxOpen <= 0 || o.open < o.maxOpen }
-func (o *occupancy) BeginTx()      { o.open++ }
-func (o *occupancy) EndTx()        { o.open-- }
+func (o *occupancy) isFull() bool    { return o.running >= o.slots }
+func (o *occupancy) canOpenTx() bool { return o.maxOpen <= 0 || o.open < o.maxOpen }
+func (o *occupancy) BeginTx()        { o.open++ }
+func (o *occupancy) EndTx()          { o.open-- }
 
 // start counts the item's slot and transaction.
 func (o *occupancy) start(now time.Time, it *Item) {
--- a/core/queue/shares.go
+++ b/core/queue/shares.go
@@ -6,86 +6,86 @@
 	"snipewall/core"
 )
 
-// shares is the share of the slot time that each rank keeps while it has work waiting.
-var shares = [core.RankCount]float64{core.RankUrgent: 0.6, core.RankMiddle: 0.3, core.RankLast: 0.1}
+// rankShares is the share of the slot time that is guaranteed to each rank while it has work waiting.
+var rankShares = [core.RankCount]float64{core.RankUrgent: 0.6, core.RankMiddle: 0.3, core.RankLast: 0.1}
 
 const (
-	// creditIdle and creditWaiting limit the credit of a rank, as a time over which its share
-	// accrues. A rank that waits behind long statements keeps its claim longer than an idle one.
-	creditIdle    = 50 * time.Millisecond
-	creditWaiting = time.Second
-	// txOverdraft is how far statements of open transactions may run ahead of their rank's share, as
-	// a time over which the share accrues.
+	// maxIdleCredit and maxWaitingCredit limit the credit of a rank to what its share accrues over this
+	// time. A rank that waits behind long statements keeps more credit than an idle one.
+	maxIdleCredit    = 50 * time.Millisecond
+	maxWaitingCredit = time.Second
+	// txOverdraft is how far statements of open transactions may exceed their rank's share, as the time
+	// over which the share accrues that much.
 	txOverdraft = 200 * time.Millisecond
-	// maxDebt limits the debt of a rank that ran long statements, as a time over which its share
-	// repays it.
+	// maxDebt limits the debt of a rank that ran long statements to what its share accrues over this
+	// time.
 	maxDebt = 30 * time.Second
 )
 
 const (
-	// pressedTime is how long a kind's queue counts as past its limit after a refusal.
-	pressedTime = 100 * time.Millisecond
-	// pressedShare divides the accepted wait while a kind's queue is past its limit.
-	pressedShare = 4
+	// overloadTime is how long a kind counts as overloaded after a refusal because of its expected wait.
+	overloadTime = 100 * time.Millisecond
+	// overloadWaitDivisor divides the accepted wait of an overloaded kind.
+	overloadWaitDivisor = 4
 )
 
-// Shares is the proxy's scheduler. The most urgent rank goes first, but each rank with work waiting
-// keeps its guaranteed share of the slot time, and the kinds of a rank split the rank's time by
-// weight. Shares are kept in measured service time.
+// Shares is the scheduler of the proxy. The most urgent rank goes first, but each rank with work
+// waiting keeps its guaranteed share of the slot time, and the kinds of a rank divide its time by
+// weight. Shares are accounted in measured service time.
 type Shares struct {
 	base
-	at time.Time
-	// sweptAt is when Expire looked for items without a chance.
+	accruedAt time.Time
+	// sweptAt is when Expire last refused items whose expected wait was too long.
 	sweptAt time.Time
-	// credit is the slot time that a rank may claim ahead of more urgent ranks; negative if it has
-	// used more than its share.
+	// credit is the slot time that a rank may use ahead of more urgent ranks; negative if it has used
+	// more than its share.
 	credit [core.RankCount]time.Duration
-	// urgentAt is when a request of the urgent rank arrived last, runningLong the number of long
-	// statements of other ranks that run.
+	// urgentAt is when the last request of the urgent rank arrived, and runningLong is the number of
+	// running long statements of other ranks.
 	urgentAt    time.Time
 	runningLong int
 	// holdLong tells that no more long statements may start.
 	holdLong bool
-	// vtime is the virtual time of each rank: that of the kind that was served least when it was
-	// served last.
+	// vtime is the virtual time of each rank: the highest at which the kind that was furthest behind
+	// has been served.
 	vtime [core.RankCount]time.Duration
 }
 
-// NewShares returns the proxy's scheduler.
+// NewShares returns a scheduler with guaranteed shares.
 func NewShares(cfg Config) *Shares { return &Shares{base: newBase(cfg)} }
 
-// Add lets the item wait, or refuses it if its expected wait is too long.
+// Add queues the item, or refuses it if its expected wait is too long.
 func (s *Shares) Add(now time.Time, it *Item) *Refusal {
 	if refusal := s.base.Add(now, it); refusal != nil {
 		return refusal
 	}
-	limit := it.latest.Sub(now)
-	if now.Sub(it.state.overAt) < pressedTime {
-		limit /= pressedShare
+	limit := it.latestStart.Sub(now)
+	if now.Sub(it.state.refusedAt) < overloadTime {
+		limit /= overloadWaitDivisor
 	}
 	if wait := s.expectedWait(now, it); wait > limit {
 		s.Remove(it)
-		it.state.overAt = now
+		it.state.refusedAt = now
 		return &Refusal{Reason: "the expected wait is too long", RetryAfter: wait - limit}
 	}
 	if it.state.policy.Rank == core.RankUrgent {
 		s.urgentAt = now
 	}
 	if k := it.state; k.waiting() == 1 {
-		// A kind that had no work has no claim on the time at which it was idle.
+		// A kind that had no work has no claim on the time in which it was idle.
 		k.vtime = max(k.vtime, s.vtime[k.policy.Rank])
 	}
 	return nil
 }
 
-// Next takes the item that starts now: of the most urgent rank that has credit, otherwise of the
-// most urgent rank.
+// Next starts an item of the most urgent rank that has credit, or else of the most urgent rank.
+// Statements of open transactions go first within limits.
 func (s *Shares) Next(now time.Time) *Item {
-	if s.full() {
+	if s.isFull() {
 		return nil
 	}
 	s.refresh()
-	s.holdLong = s.mustHoldLong(now)
+	s.holdLong = s.shouldHoldLong(now)
 	waiting := s.ranksWaiting(func(k *kindState) bool { return s.candidate(now, k) != nil })
 	s.accrue(now, waiting)
 	k := s.pickTx(now)
@@ -97,11 +97,11 @@
 		k = s.pickKind(now, rank)
 	}
 	it := s.candidate(now, k)
-	if s.lead(k) == 0 {
+	if s.vtimeLead(k) == 0 {
 		s.vtime[k.policy.Rank] = max(s.vtime[k.policy.Rank], k.vtime)
 	}
-	s.take(now, it)
-	k.opening.started(it)
+	s.startItem(now, it)
+	k.txAdmission.noteStart(it)
 	it.contested = contested(waiting, k.policy.Rank)
 	it.long = s.isLong(k)
 	if it.long {
@@ -114,7 +114,7 @@
 // Done ends an item and corrects its charge to the measured service time.
 func (s *Shares) Done(now time.Time, it *Item, ran bool) {
 	d := s.finish(now, it, ran)
-	it.state.served.add(now, d)
+	it.state.recentSlotTime.add(now, d)
 	if it.long {
 		s.runningLong--
 	}
@@ -123,23 +123,23 @@
 
 // accrue adds each rank's share of the time since the last call to its credit.
 func (s *Shares) accrue(now time.Time, waiting [core.RankCount]bool) {
-	dt := now.Sub(s.at)
-	if s.at.IsZero() {
+	dt := now.Sub(s.accruedAt)
+	if s.accruedAt.IsZero() {
 		dt = 0
 	}
-	s.at = now
+	s.accruedAt = now
 	for r := range s.credit {
-		most := s.share(r, creditIdle)
+		most := s.share(r, maxIdleCredit)
 		if waiting[r] {
-			most = s.share(r, creditWaiting)
+			most = s.share(r, maxWaitingCredit)
 		}
 		s.credit[r] = min(s.credit[r]+s.share(r, dt), most)
 	}
 }
 
-// share returns the slot time that the rank is guaranteed over d.
+// share returns the slot time that is guaranteed to the rank over d.
 func (s *Shares) share(r int, d time.Duration) time.Duration {
-	return time.Duration(shares[r] * float64(s.slots) * float64(d))
+	return time.Duration(rankShares[r] * float64(s.slots) * float64(d))
 }
 
 func (s *Shares) pickRank(waiting [core.RankCount]bool) (core.Rank, bool) {
@@ -158,10 +158,9 @@
 	return core.Rank(max(first, 0)), first >= 0
 }
 
-// pickTx returns the kind whose statement of an open transaction goes before everything else, since
-// the transaction holds a connection and locks. A rank may run ahead of its share by txOverdraft
-// for this, and a kind ahead of the others of its rank, so that transactions don't take their
-// shares.
+// pickTx returns the kind with the oldest waiting statement of an open transaction, which goes before
+// everything else, since the transaction holds a connection and locks. To protect the shares of others,
+// a rank may exceed its share for this by at most txOverdraft, and so may a kind within its rank.
 func (s *Shares) pickTx(now time.Time) *kindState {
 	var best *kindState
 	for _, k := range s.list {
@@ -169,7 +168,7 @@
 			continue
 		}
 		overdraft := s.share(int(k.policy.Rank), txOverdraft)
-		if s.credit[k.policy.Rank] <= -overdraft || s.lead(k) >= overdraft {
+		if s.credit[k.policy.Rank] <= -overdraft || s.vtimeLead(k) >= overdraft {
 			continue
 		}
 		if best == nil || k.inTx[0].arrived.Before(best.inTx[0].arrived) {
@@ -179,9 +178,9 @@
 	return best
 }
 
-// lead returns how far the kind's virtual time is ahead of the other kinds of its rank that have
-// work waiting.
-func (s *Shares) lead(k *kindState) time.Duration {
+// vtimeLead returns how far the kind's virtual time is ahead of the other kinds of its rank with work
+// waiting.
+func (s *Shares) vtimeLead(k *kindState) time.Duration {
 	lead := time.Duration(0)
 	for _, other := range s.list {
 		if other != k && other.policy.Rank == k.policy.Rank && other.waiting() > 0 {
@@ -191,7 +190,7 @@
 	return lead
 }
 
-// pickKind returns the rank's kind that was served least per weight.
+// pickKind returns the kind of the rank with the lowest virtual time.
 func (s *Shares) pickKind(now time.Time, rank core.Rank) *kindState {
 	var best *kindState
 	for _, k := range s.list {
@@ -215,9 +214,9 @@
 	return false
 }
 
-// charge subtracts slot time from the credit of the item's rank and advances its kind. Slot time
-// that no other rank wanted is free, so that a rank that used idle slots isn't starved once the
-// others come.
+// charge subtracts slot time from the credit of the item's rank and advances the virtual time of its
+// kind. Slot time that no other rank wanted is not charged, so that a rank that used idle slots isn't
+// starved when work of other ranks arrives.
 func (s *Shares) charge(it *Item, d time.Duration) {
 	if r := it.rank; it.contested {
 		s.credit[r] = max(s.credit[r]-d, -s.share(int(r), maxDebt))
--- a/core/queue/shares_test.go
+++ b/core/queue/shares_test.go
@@ -14,7 +14,7 @@
 	"snipewall/core"
 )
 
-// load is a number of workers that offer requests of a kind without a pause.
+// load is a number of workers that send requests of a kind without a pause.
 type load struct {
 	kind    core.Kind
 	workers int
@@ -22,7 +22,7 @@
 	inTx    bool
 }
 
-// saturate runs the load for d and returns the slot time that each kind got, as a share of all.
+// saturate runs the loads for d and returns each kind's share of the used slot time.
 func saturate(q *Queue, d time.Duration, loads []load) map[core.Kind]float64 {
 	var mu sync.Mutex
 	got := make(map[core.Kind]time.Duration)
@@ -53,14 +53,14 @@
 	return shares
 }
 
-// Guards against a surge of any kind, in transactions or not, that takes the guaranteed share of a
-// rank or of another kind of its own rank.
+// Guards against a surge of one kind, in transactions or not, that takes the guaranteed share of a rank
+// or of another kind of its rank.
 func TestGuaranteedShares(t *testing.T) {
 	want := map[core.Kind]float64{"book": 0.6, "quote": 0.2, "reseal": 0.1, "report": 0.1}
 	for surging := range want {
 		for _, inTx := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/%v", surging, inTx), func(t *testing.T) {
-				run(t, Config{Slots: 2, Policies: testRows()}, func(t *testing.T, q *Queue) {
+				runScenario(t, Config{Slots: 2, Policies: testRows()}, func(t *testing.T, q *Queue) {
 					loads := []load{
 						{kind: "book", workers: 5, service: 8 * time.Millisecond},
 						{kind: "quote", workers: 5, service: 12 * time.Millisecond},
@@ -82,9 +82,9 @@
 	}
 }
 
-// Guards against a transaction that holds its connection while it waits behind others' work.
+// Guards against a transaction that holds its connection while it waits behind other work.
 func TestTransactionsGoFirst(t *testing.T) {
-	run(t, Config{Slots: 1, Policies: testRows()}, func(t *testing.T, q *Queue) {
+	runScenario(t, Config{Slots: 1, Policies: testRows()}, func(t *testing.T, q *Queue) {
 		slot, err := q.Acquire(t.Context(), &Item{Kind: "book"})
 		assert.NilError(t, err)
 		ended := make(chan string, 4)
@@ -103,10 +103,10 @@
 	})
 }
 
-// Guards against a changed row that is in force for new requests only.
+// Guards against applying a changed row to new requests only.
 func TestRowsChangeWhileRequestsWait(t *testing.T) {
 	table := testRows()
-	run(t, Config{Slots: 1, Policies: table}, func(t *testing.T, q *Queue) {
+	runScenario(t, Config{Slots: 1, Policies: table}, func(t *testing.T, q *Queue) {
 		slot, err := q.Acquire(t.Context(), &Item{Kind: "book"})
 		assert.NilError(t, err)
 		ended := make(chan core.Kind, 2)
@@ -126,12 +126,12 @@
 	})
 }
 
-// Guards against a kind that exceeds its Concurrency or Rate.
-func TestLimitsOfTheRow(t *testing.T) {
+// Guards against exceeding the Concurrency or Rate of a kind.
+func TestRowLimits(t *testing.T) {
 	table := testRows()
 	table["quote"] = core.KindPolicy{Kind: "quote", Rank: core.RankMiddle, Concurrency: 1, QueueTime: time.Second}
 	table["reseal"] = core.KindPolicy{Kind: "reseal", Rank: core.RankMiddle, Rate: 10, QueueTime: time.Second}
-	run(t, Config{Slots: 2, Policies: table}, func(t *testing.T, q *Queue) {
+	runScenario(t, Config{Slots: 2, Policies: table}, func(t *testing.T, q *Queue) {
 		got := saturate(q, 10*time.Second, []load{{kind: "quote", workers: 5, service: 10 * time.Millisecond}})
 		assert.Equal(t, got["quote"], 1.0)
 		assert.Equal(t, q.Dump().Running, 0)
@@ -146,19 +146,19 @@
 	})
 }
 
-// Guards against more running requests than slots, against lost slots, and against a request that
-// is both refused and started, under any mix of requests and impatient callers.
-func TestSlotsHold(t *testing.T) {
+// Guards against more running requests than slots, against lost slots, and against a request that is
+// both refused and started, under any mix of requests and timeouts.
+func TestSlotLimits(t *testing.T) {
 	kinds := []core.Kind{"book", "quote", "reseal", "report", "unknown"}
 	rapid.Check(t, func(rt *rapid.T) {
 		slots := rapid.IntRange(1, 4).Draw(rt, "slots")
 		maxOpen := rapid.IntRange(1, 3).Draw(rt, "maxOpen")
-		type ask struct {
+		type request struct {
 			it                   Item
-			pause, hold, patient int
+			pause, hold, timeout int
 		}
-		asks := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) ask {
-			return ask{
+		requests := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) request {
+			return request{
 				it: Item{
 					Kind:    rapid.SampledFrom(kinds).Draw(rt, "kind"),
 					InTx:    rapid.Bool().Draw(rt, "inTx"),
@@ -166,32 +166,32 @@
 				},
 				pause:   rapid.IntRange(0, 20).Draw(rt, "pause"),
 				hold:    rapid.IntRange(0, 300).Draw(rt, "hold"),
-				patient: rapid.IntRange(1, 1500).Draw(rt, "patient"),
+				timeout: rapid.IntRange(1, 1500).Draw(rt, "timeout"),
 			}
-		}), 1, 40).Draw(rt, "asks")
-		run(t, Config{Slots: slots, MaxOpen: maxOpen, Policies: testRows()}, func(t *testing.T, q *Queue) {
-			checkSlots(t, q, slots, maxOpen, len(asks), func(i int) (*Item, [3]time.Duration) {
-				a := asks[i]
+		}), 1, 40).Draw(rt, "requests")
+		runScenario(t, Config{Slots: slots, MaxOpen: maxOpen, Policies: testRows()}, func(t *testing.T, q *Queue) {
+			checkSlots(t, q, slots, maxOpen, len(requests), func(i int) (*Item, [3]time.Duration) {
+				a := requests[i]
 				it := a.it
 				it.OpensTx = it.OpensTx && !it.InTx
 				return &it, [3]time.Duration{
 					time.Duration(a.pause) * time.Millisecond,
 					time.Duration(a.hold) * time.Millisecond,
-					time.Duration(a.patient) * time.Millisecond,
+					time.Duration(a.timeout) * time.Millisecond,
 				}
 			})
 		})
 	})
 }
 
-// checkSlots runs n requests and checks the limits at each start. The durations of a request are
-// the pause before it, its service time and the caller's patience.
-func checkSlots(t *testing.T, q *Queue, slots, maxOpen, n int, ask func(i int) (*Item, [3]time.Duration)) {
+// checkSlots runs n requests and checks the limits at each start. The durations of a request are the
+// pause before it, its service time and the caller's timeout.
+func checkSlots(t *testing.T, q *Queue, slots, maxOpen, n int, request func(i int) (*Item, [3]time.Duration)) {
 	var mu sync.Mutex
 	running, open := 0, 0
 	var wg sync.WaitGroup
 	for i := range n {
-		it, d := ask(i)
+		it, d := request(i)
 		time.Sleep(d[0])
 		wg.Go(func() {
 			ctx, cancel := context.WithTimeout(t.Context(), d[2])
@@ -227,9 +227,9 @@
 	assert.Equal(t, st.OpenTransactions, 0)
 }
 
-// Guards against a rank that is starved because it used idle slots before the others came.
-func TestSpareSlotsAreFree(t *testing.T) {
-	run(t, Config{Slots: 2, Policies: testRows()}, func(t *testing.T, q *Queue) {
+// Guards against starving a rank because it used idle slots before work of other ranks arrived.
+func TestIdleSlotUseIsNotCharged(t *testing.T) {
+	runScenario(t, Config{Slots: 2, Policies: testRows()}, func(t *testing.T, q *Queue) {
 		saturate(q, 20*time.Second, []load{{kind: "report", workers: 5, service: 20 * time.Millisecond}})
 		got := saturate(q, 5*time.Second, []load{
 			{kind: "book", workers: 20, service: 8 * time.Millisecond},
@@ -239,9 +239,9 @@
 	})
 }
 
-// mixed offers single statements and transactions of four statements of one kind at fixed rates, as
-// callers that give up after limit would, and returns how many of each were served.
-func mixed(q *Queue, d, limit time.Duration, singles, transactions int) (served, servedTx int) {
+// offerMixedLoad sends single statements and transactions of four statements of one kind at fixed
+// rates, with the limit as their deadline, and returns how many of each were served.
+func offerMixedLoad(q *Queue, d, limit time.Duration, singles, transactions int) (served, servedTx int) {
 	const service, pause, length = 9 * time.Millisecond, 10 * time.Millisecond, 4
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -282,8 +282,8 @@
 }
 
 // Guards against transactions that take the slots of several times as many single statements when not
-// all can be served: hoangphat-seals scale-1, 4 s to 10 s, where a primary with two slots was offered 260
-// single statements and 35 transactions a second.
+// all can be served. The load is that of a primary with two slots which got 260 single statements and
+// 35 transactions a second.
 func TestSingleStatementsGoFirstInSurge(t *testing.T) {
 	const length, limit = 10 * time.Second, 360 * time.Millisecond
 	count := func(s Scheduler) (served, servedTx int) {
@@ -292,7 +292,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			end := make(chan error, 1)
 			go func() { end <- q.Run(ctx) }()
-			served, servedTx = mixed(q, length, limit, 260, 35)
+			served, servedTx = offerMixedLoad(q, length, limit, 260, 35)
 			cancel()
 			assert.NilError(t, <-end)
 		})
@@ -302,7 +302,7 @@
 	before, beforeTx := count(NewFCFS(cfg))
 	served, servedTx := count(NewShares(cfg))
 	t.Logf("first come first served: %d and %d transactions; shares: %d and %d", before, beforeTx, served, servedTx)
-	assert.Assert(t, served+servedTx >= before+beforeTx, "order by rank must not cost requests")
-	// Transactions keep their share of the slot time: of 2 slots over 10 s, at 36 ms each.
-	assert.Assert(t, float64(servedTx) > 0.9*openShare*2*10/0.036)
+	assert.Assert(t, served+servedTx >= before+beforeTx, "guaranteed shares must not serve fewer requests")
+	// Transactions keep their share of the slot time of 2 slots over 10 s, at 36 ms each.
+	assert.Assert(t, float64(servedTx) > 0.9*txShare*2*10/0.036)
 }
--- /dev/null
+++ b/core/queue/tx_admission.go
@@ -0,0 +1,52 @@
+package queue
+
+import "time"
+
+const (
+	// txShare is the share of a kind's slot time that is reserved for new transactions while single
+	// statements wait as well.
+	txShare = 0.1
+	// maxTxCredit limits the credit of new transactions, as a number of transactions.
+	maxTxCredit = 2
+	// txCountDecay is the factor by which the counts of transactions and their statements decay with
+	// each new transaction.
+	txCountDecay = 0.98
+)
+
+// txAdmission decides when a kind's waiting transactions begin. Load pattern: more work than slots. A
+// transaction takes the slot time of all its statements, so single statements go first, since the same
+// slots then serve more requests. New transactions keep a share.
+type txAdmission struct {
+	// txCount and followUpCount count transactions and their further statements, with decay.
+	txCount, followUpCount float64
+	// credit is the slot time reserved so far for new transactions.
+	credit time.Duration
+}
+
+// cost is the expected slot time of a transaction with statements of the given service time.
+func (o *txAdmission) cost(service time.Duration) time.Duration {
+	return time.Duration((1 + o.followUpCount/max(o.txCount, 1)) * float64(service))
+}
+
+// noteStart updates the credit and the counts when the item starts.
+func (o *txAdmission) noteStart(it *Item) {
+	cost := o.cost(it.estimate)
+	o.credit = min(o.credit+time.Duration(txShare*float64(it.estimate)), maxTxCredit*cost)
+	switch {
+	case it.OpensTx:
+		o.credit = max(o.credit-cost, 0)
+		o.txCount, o.followUpCount = txCountDecay*o.txCount+1, txCountDecay*o.followUpCount
+	case it.InTx:
+		o.followUpCount++
+	}
+}
+
+// isDue reports whether a transaction may begin before single statements.
+func (o *txAdmission) isDue(service time.Duration) bool { return o.credit >= o.cost(service) }
+
+// slotTimeAhead returns the slot time that the kind uses before a transaction with this many others
+// ahead of it begins, if single statements wait all the time.
+func (o *txAdmission) slotTimeAhead(others int, service time.Duration) time.Duration {
+	need := time.Duration(others+1)*o.cost(service) - o.credit
+	return max(0, time.Duration(float64(need)/txShare))
+}
--- a/core/queue/wait.go
+++ b/core/queue/wait.go
@@ -2,53 +2,54 @@
 
 import "time"
 
-// hopelessFactor is how far the expected wait of an item that already waits must exceed its time,
-// since a spell of long statements makes estimates too high for a while.
-const hopelessFactor = 2
+// lateRefusalFactor is the factor by which the expected wait of a waiting item must exceed its
+// remaining time for a refusal, since estimates are too high for a while after a series of long
+// statements.
+const lateRefusalFactor = 2
 
-// expectedWait estimates the time until the waiting item starts. It is the lower of two bounds: how
-// long the kind's own work ahead takes at the rate that the kind is guaranteed or has had recently,
-// and how long that work and all work that goes first take in the slots that more urgent ranks leave. The
-// first item of a kind is never expected to wait, so that a wrong estimate is corrected by the next
-// measurement.
+// expectedWait estimates the time until the waiting item starts. It is the lower of two bounds: the
+// time for the kind's own work ahead at the kind's guaranteed or recent rate, and the time for that
+// work and all work with precedence in the slots that more urgent ranks leave. The first item of a kind
+// has no expected wait, so that a wrong estimate is corrected by the next measurement.
 func (s *Shares) expectedWait(now time.Time, it *Item) time.Duration {
 	k := it.state
-	ahead := k.ahead(it)
+	ahead := k.itemsAhead(it)
 	if ahead == 0 {
 		return 0
 	}
-	own := time.Duration(ahead) * k.service.value()
+	own := time.Duration(ahead) * k.serviceTime.value()
 	if it.OpensTx {
-		own = s.ownBeforeOpening(now, k, it, own)
+		own = s.slotTimeBeforeTx(now, k, it, own)
 	}
-	return s.waitForOwn(now, k, ahead, own)
+	return s.waitForSlotTime(now, k, ahead, own)
 }
 
-// ownBeforeOpening returns the kind's slot time that passes before a new transaction begins, given that
-// of the items that wait now. While requests are refused, single statements always wait.
-func (s *Shares) ownBeforeOpening(now time.Time, k *kindState, it *Item, waiting time.Duration) time.Duration {
-	byShare := k.opening.ahead(position(k.opens, it), k.service.value())
-	if now.Sub(k.overAt) < pressedTime {
+// slotTimeBeforeTx returns the slot time that the kind uses before a new transaction begins. waiting is
+// that of the items that wait now. While requests are refused, single statements wait all the time.
+func (s *Shares) slotTimeBeforeTx(now time.Time, k *kindState, it *Item, waiting time.Duration) time.Duration {
+	byShare := k.txAdmission.slotTimeAhead(itemsBefore(k.newTx, it), k.serviceTime.value())
+	if now.Sub(k.refusedAt) < overloadTime {
 		return byShare
 	}
 	return min(waiting, byShare)
 }
 
-// waitFor estimates how long an item of the kind waits that has so many others of it ahead.
-func (s *Shares) waitFor(now time.Time, k *kindState, ahead int) time.Duration {
-	return s.waitForOwn(now, k, ahead, time.Duration(ahead)*k.service.value())
+// waitBehind estimates the wait of an item behind this many others of its kind.
+func (s *Shares) waitBehind(now time.Time, k *kindState, ahead int) time.Duration {
+	return s.waitForSlotTime(now, k, ahead, time.Duration(ahead)*k.serviceTime.value())
 }
 
-// waitForOwn is waitFor with the slot time of the others.
-func (s *Shares) waitForOwn(now time.Time, k *kindState, ahead int, own time.Duration) time.Duration {
-	rate := max(s.guaranteed(k), k.served.slots(now))
+// waitForSlotTime estimates the wait of an item behind this many others of its kind, which take the
+// slot time own.
+func (s *Shares) waitForSlotTime(now time.Time, k *kindState, ahead int, own time.Duration) time.Duration {
+	rate := max(s.guaranteedSlots(k), k.recentSlotTime.slots(now))
 	wait := min(time.Duration(float64(own)/rate), s.waitBehindRanks(now, k, own))
-	return max(wait, k.waitForLimits(ahead, own))
+	return max(wait, k.waitForRowLimits(ahead, own))
 }
 
-// waitForLimits returns how long the row's own limits keep an item waiting that has so many others
-// ahead, which take own in all.
-func (k *kindState) waitForLimits(ahead int, own time.Duration) time.Duration {
+// waitForRowLimits returns how long the row's limits delay an item behind this many others, which take
+// the slot time own.
+func (k *kindState) waitForRowLimits(ahead int, own time.Duration) time.Duration {
 	var wait time.Duration
 	if k.policy.Rate > 0 {
 		wait = time.Duration(float64(ahead) / k.policy.Rate * float64(time.Second))
@@ -59,46 +60,46 @@
 	return wait
 }
 
-// Expire takes out the items that can't start in time any more: those whose time is over, and at
-// regular times also those that others ahead will keep from starting in time.
+// Expire removes and returns the items that can no longer start in time, and at most once per
+// sweepInterval also those whose expected wait has become too long.
 func (s *Shares) Expire(now time.Time) []*Item {
 	late := s.base.Expire(now)
-	if now.Sub(s.sweptAt) < sweepTime {
+	if now.Sub(s.sweptAt) < sweepInterval {
 		return late
 	}
 	s.sweptAt = now
 	for _, k := range s.list {
-		late = s.dropHopeless(now, k, late)
+		late = s.refuseNewest(now, k, late)
 	}
 	return late
 }
 
-// dropHopeless takes out the newest items of the kind whose expected wait is too long.
-func (s *Shares) dropHopeless(now time.Time, k *kindState, late []*Item) []*Item {
-	for n := len(k.plain) - 1; n > 0; n-- {
-		it := k.plain[n]
-		wait := s.waitFor(now, k, len(k.inTx)+n)
-		if !now.Add(wait / hopelessFactor).After(it.latest) {
+// refuseNewest refuses the newest single statements of the kind while their expected wait is too long.
+func (s *Shares) refuseNewest(now time.Time, k *kindState, late []*Item) []*Item {
+	for n := len(k.single) - 1; n > 0; n-- {
+		it := k.single[n]
+		wait := s.waitBehind(now, k, len(k.inTx)+n)
+		if !now.Add(wait / lateRefusalFactor).After(it.latestStart) {
 			return late
 		}
-		it.refusal = &Refusal{Reason: "the expected wait became too long", RetryAfter: now.Add(wait).Sub(it.latest)}
-		k.plain.remove(it)
+		it.refusal = &Refusal{Reason: "the expected wait became too long", RetryAfter: now.Add(wait).Sub(it.latestStart)}
+		k.single.remove(it)
 		late = append(late, it)
 	}
 	return late
 }
 
-// ahead returns how many items of the kind start before the item.
-func (k *kindState) ahead(it *Item) int {
-	n := position(k.inTx, it)
+// itemsAhead returns the number of items of the kind that start before the item.
+func (k *kindState) itemsAhead(it *Item) int {
+	n := itemsBefore(k.inTx, it)
 	if !it.InTx {
-		n += position(k.opens, it) + position(k.plain, it)
+		n += itemsBefore(k.newTx, it) + itemsBefore(k.single, it)
 	}
 	return n
 }
 
-// position returns how many items of the line start before the item: all, if it isn't in the line.
-func position(line fifo, it *Item) int {
+// itemsBefore returns the number of items before the item in the fifo: all, if it isn't in the fifo.
+func itemsBefore(line fifo, it *Item) int {
 	for i := len(line) - 1; i >= 0; i-- {
 		if line[i] == it {
 			return i
@@ -107,8 +108,9 @@
 	return len(line)
 }
 
-// guaranteed returns the slots that the kind keeps on average while it has work waiting.
-func (s *Shares) guaranteed(k *kindState) float64 {
+// guaranteedSlots returns the average number of slots that the kind is guaranteed while it has work
+// waiting.
+func (s *Shares) guaranteedSlots(k *kindState) float64 {
 	weights := 0
 	for _, other := range s.list {
 		if other.policy.Rank == k.policy.Rank && (other == k || other.waiting() > 0) {
@@ -116,12 +118,12 @@
 		}
 	}
 	part := float64(max(k.policy.Weight, 1)) / float64(weights)
-	return shares[k.policy.Rank] * float64(s.slots) * part
+	return rankShares[k.policy.Rank] * float64(s.slots) * part
 }
 
-// waitBehindRanks returns how long the work that goes before the kind's own takes in the slots that
-// more urgent ranks don't occupy. Of another kind of the rank, no more goes first than its weight
-// entitles it to.
+// waitBehindRanks returns the time for the kind's own work and all work with precedence in the slots
+// that more urgent ranks don't occupy. Of another kind of the same rank, only as much counts as its
+// weight entitles it to.
 func (s *Shares) waitBehindRanks(now time.Time, k *kindState, own time.Duration) time.Duration {
 	work := own
 	left := float64(s.slots)
@@ -129,14 +131,14 @@
 		if other == k || other.policy.Rank > k.policy.Rank {
 			continue
 		}
-		waiting := time.Duration(other.waiting()) * other.service.value()
+		waiting := time.Duration(other.waiting()) * other.serviceTime.value()
 		if other.policy.Rank == k.policy.Rank {
 			waiting = min(waiting, own*time.Duration(max(other.policy.Weight, 1))/time.Duration(max(k.policy.Weight, 1)))
 		} else {
-			left -= other.served.slots(now)
+			left -= other.recentSlotTime.slots(now)
 		}
 		work += waiting
 	}
-	const leastLeft = 0.01
-	return time.Duration(float64(work) / max(left, leastLeft))
+	const minSlotsLeft = 0.01
+	return time.Duration(float64(work) / max(left, minSlotsLeft))
 }
