--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -1,11 +1,11 @@
-// Package retry limits repetitions of requests to a share of the traffic, so that retries never
-// multiply a surge.
+// Package retry limits retries to a share of the requests, so that they can't multiply the load of a
+// surge.
 //
 // # Usage
 //
 //	b := retry.NewBudget(retry.Config{Ratio: 0.1, Burst: 50})
-//	b.Earn()        // for each request
-//	if b.Spend() {  // before each repetition
+//	b.Deposit()        // for each request
+//	if b.Withdraw() {  // before each retry
 //		...
 //	}
 package retry
@@ -14,31 +14,31 @@
 
 // Config configures a Budget.
 type Config struct {
-	// Ratio is the share of the requests that may be repeated.
+	// Ratio is the number of retries that each request adds to the budget.
 	Ratio float64
-	// Burst is the number of repetitions that can be saved up.
+	// Burst is the maximum number of retries in the budget.
 	Burst float64
 }
 
-// Budget is safe for concurrent use.
+// Budget is a token bucket of retries that requests refill. It is safe for concurrent use.
 type Budget struct {
 	cfg Config
 	mu  sync.Mutex
-	// tokens is the number of repetitions that are allowed now.
+	// tokens is the number of retries that are allowed now.
 	tokens float64
 }
 
 // NewBudget returns a full budget.
 func NewBudget(cfg Config) *Budget { return &Budget{cfg: cfg, tokens: cfg.Burst} }
 
-// Deposit adds the allowance of one request.
+// Deposit adds Config.Ratio retries for one request, up to Config.Burst.
 func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.cfg.Ratio, b.cfg.Burst)
 }
 
-// Withdraw takes one repetition and reports whether there was one.
+// Withdraw takes one retry from the budget and reports whether there was one.
 func (b *Budget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -49,7 +49,7 @@
 	return true
 }
 
-// Left returns the number of repetitions that are allowed now.
+// Left returns the number of retries that are allowed now.
 func (b *Budget) Left() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
