--- a/core/fresh/fresh.go
+++ b/core/fresh/fresh.go
@@ -1,12 +1,13 @@
-// Package fresh proves how old the data of an upstream can be.
+// Package fresh bounds the age of the data that a read sees.
 //
-// A Tracker keeps samples of the primary's log position. A sample says: a primary that had proved
-// its leadership held this position after the instant at which the question was sent. Every commit
-// that was acknowledged before that instant is therefore covered by the position, and a read that
-// awaits the position misses no such commit, on whichever upstream it runs.
+// A Tracker keeps samples of the primary's log position. A sample states that a primary had this
+// position, and was proved to lead, after the instant at which it was asked. The position therefore
+// covers every commit that was acknowledged before that instant, and a read that awaits the position
+// sees all of them, on whichever upstream it runs.
 //
-// Instants come from a clock that counts suspension, and a request's own instant is taken after it
-// was read, so that a VM that was paused at any point asks for more than it needs, never for less.
+// Instants come from a clock that counts suspension, and the instant of a request is taken after the
+// request was received. A VM that is suspended at any point thus awaits a newer position than
+// necessary, never an older one.
 //
 // # Usage
 //
@@ -14,7 +15,7 @@
 //	ans := ask() // the primary proves its leadership
 //	t.Add(asked, ans.Position)
 //	...
-//	if p, ok := t.Floor(received.Add(-maxAge)); ok {
+//	if p, ok := t.MinPosition(received.Add(-maxAge)); ok {
 //		// a read that awaits p is at most maxAge old
 //	}
 package fresh
@@ -27,12 +28,12 @@
 )
 
 const (
-	// spacing is the least time between two samples that are kept. Denser samples would find a
-	// replica that lags by up to this much earlier, which doesn't outweigh the memory.
-	spacing = 20 * time.Millisecond
-	// capacity is the number of samples, about 5 s at the spacing: longer than any accepted age seen
-	// in the operators' tables.
-	capacity = 256
+	// minSampleInterval is the minimum time between two samples that are kept. With a shorter one, a
+	// lagging replica could serve reads earlier by at most this much, which doesn't justify the memory.
+	minSampleInterval = 20 * time.Millisecond
+	// maxSamples samples at the minimum interval cover about 5 s, which is longer than any accepted age
+	// seen in operators' tables.
+	maxSamples = 256
 )
 
 type sample struct {
@@ -40,19 +41,19 @@
 	position core.Position
 }
 
-// Tracker holds the samples of one group. It is safe for concurrent use.
+// Tracker holds the samples of one group. The zero value is empty. It is safe for concurrent use.
 type Tracker struct {
 	mu sync.Mutex
-	// samples are ordered by the instant at which they were asked, as a ring.
-	samples [capacity]sample
+	// samples is a ring buffer with n samples from first on, ordered by asked.
+	samples [maxSamples]sample
 	first   int
 	n       int
 }
 
-func (t *Tracker) at(i int) *sample { return &t.samples[(t.first+i)%capacity] }
+func (t *Tracker) at(i int) *sample { return &t.samples[(t.first+i)%maxSamples] }
 
-// Add records that a primary held p after asked. A sample older than the newest one adds nothing and
-// is dropped.
+// Add records that a primary had p, and was proved to lead, after the instant asked. A sample that
+// isn't newer than the newest one is dropped, and so is a zero position.
 func (t *Tracker) Add(asked core.Instant, p core.Position) {
 	if p.IsZero() {
 		return
@@ -64,21 +65,22 @@
 		if asked <= last.asked {
 			return
 		}
-		if t.n > 1 && last.asked.Sub(t.at(t.n-2).asked) < spacing {
+		if t.n > 1 && last.asked.Sub(t.at(t.n-2).asked) < minSampleInterval {
 			*last = sample{asked, p}
 			return
 		}
 	}
-	if t.n == capacity {
-		t.first = (t.first + 1) % capacity
+	if t.n == maxSamples {
+		t.first = (t.first + 1) % maxSamples
 		t.n--
 	}
 	t.n++
 	*t.at(t.n - 1) = sample{asked, p}
 }
 
-// MinPosition returns the position of the oldest sample asked at or after the instant, which replicas are
-// the most likely to have. It returns false if there is none.
+// MinPosition returns the position that a read must await to see all commits that were acknowledged
+// before the instant. It is that of the oldest sample asked at or after the instant, which replicas
+// are most likely to have. It returns false if there is none.
 func (t *Tracker) MinPosition(at core.Instant) (core.Position, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,7 +99,7 @@
 	return t.at(lo).position, true
 }
 
-// Newest returns the instant of the newest sample, or false if there is none.
+// Newest returns the instant at which the newest sample was asked, or false if there is none.
 func (t *Tracker) Newest() (core.Instant, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/fresh/fresh_test.go
+++ b/core/fresh/fresh_test.go
@@ -12,8 +12,8 @@
 
 func at(ms int) core.Instant { return core.Instant(time.Duration(ms) * time.Millisecond) }
 
-// Guards against a position from a sample that was asked too early.
-func TestFloor(t *testing.T) {
+// Guards against using a sample that was asked before the instant.
+func TestMinPosition(t *testing.T) {
 	var tr Tracker
 	_, ok := tr.MinPosition(0)
 	assert.Assert(t, !ok)
@@ -32,8 +32,9 @@
 	assert.Assert(t, !ok, "a sample from before the instant proves nothing")
 }
 
-// Guards against a tracker that is wrong when samples are dense, old, out of order or very many.
-func TestFloorIsSound(t *testing.T) {
+// Guards against using a sample that was asked before the instant when samples are close together, old, out
+// of order or more than the tracker keeps.
+func TestMinPositionWithRandomSamples(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tr Tracker
 		type added struct {
