--- a/core/place/cache.go
+++ b/core/place/cache.go
@@ -7,56 +7,56 @@
 	"snipewall/core"
 )
 
-// defaultOwners is the number of owners that a Cache keeps for each upstream: the first, and the one
-// that takes over from it.
-const defaultOwners = 2
+// defaultOwnerCount is the number of owners that a Cache keeps for each upstream: the preferred one and
+// its successor.
+const defaultOwnerCount = 2
 
-// CacheConfig sets up a Cache.
+// CacheConfig configures a Cache. Members is required.
 type CacheConfig struct {
 	Members core.Members
-	// Owners is the number of owners to keep for each upstream, 2 if 0.
+	// Owners is the number of owners to keep for each upstream; 0 stands for 2.
 	Owners int
 }
 
-// Cache keeps the owners of each upstream until the membership changes. It is safe for concurrent
+// Cache caches the owners of each upstream until the membership changes. It is safe for concurrent
 // use, and a hit takes no lock.
 type Cache struct {
 	cfg     CacheConfig
-	current atomic.Pointer[generation]
+	current atomic.Pointer[ownerSet]
 }
 
-// generation holds the owners under one state of the membership.
-type generation struct {
-	number uint64
-	owners sync.Map
+// ownerSet holds the owners that were computed for one generation of the membership.
+type ownerSet struct {
+	generation uint64
+	owners     sync.Map
 }
 
 // NewCache returns an empty Cache.
 func NewCache(cfg CacheConfig) *Cache {
 	if cfg.Owners <= 0 {
-		cfg.Owners = defaultOwners
+		cfg.Owners = defaultOwnerCount
 	}
 	c := &Cache{cfg: cfg}
-	c.current.Store(&generation{})
+	c.current.Store(&ownerSet{})
 	return c
 }
 
 // Owners returns the owners of the upstream, the preferred one first. The caller must not change
 // the result.
 func (c *Cache) Owners(info core.UpstreamInfo) []core.VM {
-	// The number is read before the members: if they change in between, newer owners are kept under
-	// the older number, and the next call computes them again.
-	number := c.cfg.Members.Generation()
-	g := c.current.Load()
-	if g.number != number {
-		g = &generation{number: number}
-		c.current.Store(g)
+	// The generation is read before the members: if they change in between, newer owners are stored
+	// with the older generation, and the next call computes them again.
+	generation := c.cfg.Members.Generation()
+	set := c.current.Load()
+	if set.generation != generation {
+		set = &ownerSet{generation: generation}
+		c.current.Store(set)
 	}
-	if owners, ok := g.owners.Load(info.ID); ok {
+	if owners, ok := set.owners.Load(info.ID); ok {
 		return owners.([]core.VM)
 	}
 	owners := Owners(info, c.cfg.Members.Alive(), c.cfg.Owners)
-	g.owners.Store(info.ID, owners)
+	set.owners.Store(info.ID, owners)
 	return owners
 }
 
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -1,17 +1,17 @@
 // Package place determines which entry VMs own an upstream, by rendezvous hashing over the entry
-// VMs that are believed to be alive. All entry VMs with the same view compute the same owners
-// without talking to each other. When an entry VM comes or goes, only the upstreams that it gains or
-// loses move.
+// VMs that are believed to be alive. All entry VMs with the same list of them compute the same owners
+// without communication. When an entry VM is added or removed, only the upstreams that it gains or
+// loses get another owner.
 //
 // The order of an upstream's owners is: the entry VMs of its failure domain in hash order, then the
 // others in hash order, then those that are about to leave. A disagreement about the owner is safe,
-// since the upstream itself refuses surplus connections.
+// since the upstream itself refuses connections beyond its limit.
 //
 // # Usage
 //
 //	owners := place.Owners(info, members.Alive(), 2)
 //
-// On the path of a request, a Cache saves the hashing until the membership changes:
+// For each request, a Cache avoids the hashing until the membership changes:
 //
 //	cache := place.NewCache(place.CacheConfig{Members: members, Owners: 2})
 //	owners := cache.Owners(info)
@@ -24,7 +24,7 @@
 )
 
 // Owners returns the first n owners of the upstream, the preferred one first. It returns fewer if
-// fewer entry VMs are alive. The result is new memory; alive isn't kept.
+// fewer entry VMs are alive. The result is newly allocated, and alive isn't retained.
 func Owners(info core.UpstreamInfo, alive []core.VM, n int) []core.VM {
 	n = min(n, len(alive))
 	if n <= 0 {
@@ -32,15 +32,15 @@
 	}
 	seed := xxhash.Sum64String(string(info.ID))
 	best := make([]core.VM, 0, n)
-	var scores [maxRanked]score
-	if n > maxRanked {
-		return ranked(seed, info.FailureDomain, alive, best, make([]score, n))
+	var scores [maxStackScores]score
+	if n > maxStackScores {
+		return insertRanked(seed, info.FailureDomain, alive, best, make([]score, n))
 	}
-	return ranked(seed, info.FailureDomain, alive, best, scores[:n])
+	return insertRanked(seed, info.FailureDomain, alive, best, scores[:n])
 }
 
-// maxRanked is the number of owners up to which the scores need no allocation.
-const maxRanked = 8
+// maxStackScores is the number of owners up to which the scores need no heap allocation.
+const maxStackScores = 8
 
 // score orders the candidates of one upstream: lower tiers first, then higher hashes.
 type score struct {
@@ -48,48 +48,49 @@
 	hash uint64
 }
 
-func (s score) before(t score) bool {
+func (s score) isBefore(t score) bool {
 	if s.tier != t.tier {
 		return s.tier < t.tier
 	}
 	return s.hash > t.hash
 }
 
-// Tiers of candidates.
+// Tiers of candidates, the preferred one first.
 const (
-	tierNear uint8 = iota
-	tierFar
+	tierSameDomain uint8 = iota
+	tierOtherDomain
 	tierLeaving
 )
 
-// ranked inserts each candidate into best, which stays sorted and keeps its capacity.
-func ranked(seed uint64, domain core.FailureDomain, alive, best []core.VM, scores []score) []core.VM {
+// insertRanked inserts the candidates into best, which is sorted and limited to its capacity.
+func insertRanked(seed uint64, domain core.FailureDomain, alive, best []core.VM, scores []score) []core.VM {
 	for i := range alive {
 		vm := &alive[i]
 		s := score{tier: tier(vm, domain), hash: mix(seed ^ xxhash.Sum64String(string(vm.ID)))}
-		at := len(best)
-		for at > 0 && isBefore(s, vm, scores[at-1], &best[at-1]) {
-			at--
+		pos := len(best)
+		for pos > 0 && isCandidateBefore(s, vm, scores[pos-1], &best[pos-1]) {
+			pos--
 		}
-		if at == cap(best) {
+		if pos == cap(best) {
 			continue
 		}
 		if len(best) < cap(best) {
 			best = best[:len(best)+1]
 		}
-		copy(best[at+1:], best[at:])
-		copy(scores[at+1:len(best)], scores[at:])
-		best[at], scores[at] = *vm, s
+		copy(best[pos+1:], best[pos:])
+		copy(scores[pos+1:len(best)], scores[pos:])
+		best[pos], scores[pos] = *vm, s
 	}
 	return best
 }
 
-// isBefore orders two candidates. Equal hashes are ordered by id, so that all entry VMs agree.
-func isBefore(s score, vm *core.VM, t score, other *core.VM) bool {
+// isCandidateBefore reports whether vm with the score s is preferred to other with t. Equal scores are
+// ordered by id, so that all entry VMs agree.
+func isCandidateBefore(s score, vm *core.VM, t score, other *core.VM) bool {
 	if s == t {
 		return vm.ID < other.ID
 	}
-	return s.before(t)
+	return s.isBefore(t)
 }
 
 func tier(vm *core.VM, domain core.FailureDomain) uint8 {
@@ -97,14 +98,14 @@
 	case vm.Leaving:
 		return tierLeaving
 	case vm.FailureDomain == domain:
-		return tierNear
+		return tierSameDomain
 	default:
-		return tierFar
+		return tierOtherDomain
 	}
 }
 
-// mix is the finalizer of splitmix64. The xor of two hashes alone would order the candidates of two
-// similar upstreams alike.
+// mix is the finalizer of splitmix64. With only the xor of the two hashes, two upstreams with similar
+// hashes would have their candidates in nearly the same order.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -113,11 +114,11 @@
 	return x ^ x>>31
 }
 
-// IsElected reports whether the entry VM is one of the n of its failure domain that carry out the
-// duty, for example to watch a key of the store. Others take over when one of them is no longer
-// alive.
-func IsElected(duty string, self core.VM, alive []core.VM, n int) bool {
-	seed := xxhash.Sum64String(duty)
+// IsElected reports whether the entry VM is one of the n in its failure domain that carry out the
+// task, for example to watch a key of the store. When one of them is no longer alive, another VM takes
+// over.
+func IsElected(task string, self core.VM, alive []core.VM, n int) bool {
+	seed := xxhash.Sum64String(task)
 	own := mix(seed ^ xxhash.Sum64String(string(self.ID)))
 	ahead := 0
 	for i := range alive {
@@ -125,7 +126,7 @@
 		if vm.ID == self.ID || vm.FailureDomain != self.FailureDomain {
 			continue
 		}
-		// A VM that is about to leave hands its duties over, unless only such VMs are left.
+		// A VM that is about to leave is elected only if no others are left.
 		if vm.Leaving != self.Leaving {
 			if self.Leaving {
 				ahead++
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Guards against an owner in another failure domain while one in the upstream's own is alive, and
-// against more movement than the lost VM's own upstreams.
+// Guards against an owner in another failure domain while the upstream's own domain has a VM alive, and
+// against changing the owner of other upstreams than those of a removed VM.
 func TestOwnersMoveMinimally(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.IntRange(1, 4).Draw(t, "domains")
@@ -62,8 +62,8 @@
 	}
 }
 
-// Guards against a few entry VMs that own most upstreams: 1200 databases on 520 entry VMs.
-func TestOwnersSpread(t *testing.T) {
+// Guards against a few entry VMs that own most upstreams. The case has 1200 upstreams and 520 entry VMs.
+func TestOwnersAreBalanced(t *testing.T) {
 	alive := fleet(520, 4)
 	count := map[core.VMID]int{}
 	for i := range 1200 {
@@ -78,7 +78,7 @@
 	assert.Assert(t, len(count) > 400, "only %d entry VMs own an upstream", len(count))
 }
 
-// Guards against a duty that nobody carries out, or that more than n VMs of a failure domain do.
+// Guards against a task that no VM or more than n VMs of a failure domain carry out.
 func TestIsElected(t *testing.T) {
 	alive := fleet(40, 4)
 	for lost := range len(alive) {
@@ -104,7 +104,7 @@
 func (m *fakeMembers) Alive() []core.VM   { return m.alive }
 func (m *fakeMembers) Generation() uint64 { return m.gen.Load() }
 
-// Guards against owners that are kept after the membership changed.
+// Guards against returning cached owners after the membership changed.
 func TestCache(t *testing.T) {
 	m := &fakeMembers{alive: fleet(8, 2)}
 	c := NewCache(CacheConfig{Members: m})
