--- a/core/fresh/fresh_test.go
+++ b/core/fresh/fresh_test.go
@@ -12,10 +12,10 @@
 
 func at(ms int) core.Instant { return core.Instant(time.Duration(ms) * time.Millisecond) }
 
-// Guards against a position from a sample that was asked too early.
-func TestFloor(t *testing.T) {
+// Guards against using a sample that was asked before the instant.
+func TestMinPosition(t *testing.T) {
 	var tr Tracker
-	_, ok := tr.Floor(0)
+	_, ok := tr.MinPosition(0)
 	assert.Assert(t, !ok)
 	for i := 1; i <= 5; i++ {
 		tr.Add(at(100*i), core.Position{Term: 1, Offset: core.Offset(i)})
@@ -24,16 +24,17 @@
 		from, want int
 	}{{0, 1}, {100, 1}, {101, 2}, {500, 5}}
 	for _, tt := range tests {
-		p, ok := tr.Floor(at(tt.from))
+		p, ok := tr.MinPosition(at(tt.from))
 		assert.Assert(t, ok)
 		assert.Equal(t, p.Offset, core.Offset(tt.want), "from %d", tt.from)
 	}
-	_, ok = tr.Floor(at(501))
+	_, ok = tr.MinPosition(at(501))
 	assert.Assert(t, !ok, "a sample from before the instant proves nothing")
 }
 
-// Guards against a tracker that is wrong when samples are dense, old, out of order or very many.
-func TestFloorIsSound(t *testing.T) {
+// Guards against using a sample that was asked before the instant when samples are close together, old, out
+// of order or more than the tracker keeps.
+func TestMinPositionWithRandomSamples(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tr Tracker
 		type added struct {
@@ -49,7 +50,7 @@
 			all = append(all, a)
 		}
 		from := at(rapid.IntRange(0, now+50).Draw(t, "from"))
-		p, ok := tr.Floor(from)
+		p, ok := tr.MinPosition(from)
 		if !ok {
 			return
 		}
--- a/core/line.go
+++ b/core/line.go
@@ -48,8 +48,8 @@
 // String returns the name of the fault for logs and metrics.
 func (f Fault) String() string { return faultNames[f] }
 
-// NotRun reports whether an upstream that answers with the fault has not run the statement.
-func (f Fault) NotRun() bool {
+// IsNotRun reports whether an upstream that answers with the fault has not run the statement.
+func (f Fault) IsNotRun() bool {
 	switch f {
 	case FaultBusy, FaultOverload, FaultLagging, FaultReadOnly, FaultMisrouted, FaultUnprepared:
 		return true
@@ -62,8 +62,8 @@
 
 // Operations of commands.
 const (
-	// OpCaller passes a caller's statement on unchanged.
-	OpCaller Op = iota
+	// OpForward passes a caller's statement on unchanged.
+	OpForward Op = iota
 	// OpExecute runs the prepared statement Name with the arguments in Text.
 	OpExecute
 	OpBegin
--- a/server/members.go
+++ b/server/members.go
@@ -19,18 +19,18 @@
 	}
 	p.members, err = peers.New(peers.Config{
 		Self: p.self(), Seeds: s.Peers.Seeds, Transport: ctrl.NewClient(ctrl.ClientConfig{}),
-		Platform: p.store, Table: p.table, Interval: s.Peers.PingInterval, ListTime: s.Platform.ListInterval,
+		Platform: p.store, Table: p.table, PingInterval: s.Peers.PingInterval, ListInterval: s.Platform.ListInterval,
 		Logger: log.With(p.cfg.Log, "Service", "peers"),
 	})
 	if err != nil {
 		return err
 	}
-	p.table.Join(p.members)
+	p.table.SetPeers(p.members)
 	control := &controlService{server: ctrl.NewServer(ctrl.ServerConfig{Peers: p.members}), listener: ln}
-	if err := p.kernel.Register(p.members); err != nil {
+	if err := p.registry.Register(p.members); err != nil {
 		return err
 	}
-	return p.kernel.Register(control)
+	return p.registry.Register(control)
 }
 
 // controlService runs the server for control calls as a service.
