--- a/io/hop/client.go
+++ b/io/hop/client.go
@@ -11,26 +11,27 @@
 	"snipewall/io/sock"
 )
 
-// bufferSize holds the usual batch and answer in one system call.
+// bufferSize is large enough to read or write a typical batch or answer with one system call.
 const bufferSize = 1 << 10
 
 // Conn is a connection to the owner of an upstream. It implements core.LineConn.
 type Conn struct {
-	conn  net.Conn
-	in    *bufio.Reader
-	out   *bufio.Writer
-	dec   *gob.Decoder
-	enc   *gob.Encoder
-	hello core.Position
-	// leaving tells that the owner stops.
-	leaving  bool
-	deadline time.Time
-	// broken is the error that ended the connection. A frame that was read in part can't be continued.
-	broken error
+	conn          net.Conn
+	in            *bufio.Reader
+	out           *bufio.Writer
+	dec           *gob.Decoder
+	enc           *gob.Encoder
+	helloPosition core.Position
+	// ownerStopping is set once the owner has sent a goodbye.
+	ownerStopping bool
+	readDeadline  time.Time
+	// readErr is the error that made the connection unusable. The decoder can't resume in the middle of
+	// a frame.
+	readErr error
 }
 
-// Dial connects to the owner at address. The error is *core.RefusedError if the owner has no
-// connection to the upstream to give.
+// Dial connects to the entry VM at address, which owns the upstream. The error is a
+// *core.RefusedError if the owner is stopping or has no connection to the upstream to offer.
 func Dial(ctx context.Context, address string, upstream core.UpstreamID) (*Conn, error) {
 	nc, err := sock.Dial(ctx, address)
 	if err != nil {
@@ -64,12 +65,12 @@
 	if w.Fault != core.FaultNone {
 		return &core.RefusedError{Upstream: upstream, Message: "owner refused: " + w.Fault.String()}
 	}
-	c.hello = w.Position
+	c.helloPosition = w.Position
 	return core.ErrPeer.Wrap(c.conn.SetDeadline(time.Time{}))
 }
 
 // Hello implements core.LineConn.
-func (c *Conn) Hello() core.Position { return c.hello }
+func (c *Conn) Hello() core.Position { return c.helloPosition }
 
 // Send implements core.LineConn.
 func (c *Conn) Send(cmds []core.Command) error {
@@ -92,29 +93,30 @@
 
 // Receive implements core.LineConn.
 func (c *Conn) Receive(deadline time.Time) (core.Answer, error) {
-	if c.broken != nil {
-		return core.Answer{}, c.broken
+	if c.readErr != nil {
+		return core.Answer{}, c.readErr
 	}
-	if !deadline.Equal(c.deadline) {
+	if !deadline.Equal(c.readDeadline) {
 		if err := c.conn.SetReadDeadline(deadline); err != nil {
 			return core.Answer{}, core.ErrPeer.Wrap(err)
 		}
-		c.deadline = deadline
+		c.readDeadline = deadline
 	}
 	for {
-		// A timeout while nothing of the frame has arrived leaves the decoder usable.
+		// Waits for the first byte outside the decoder, so that a timeout before a frame has begun
+		// leaves the decoder usable.
 		if _, err := c.in.Peek(1); err != nil {
 			return core.Answer{}, err
 		}
 		var r reply
 		if err := c.dec.Decode(&r); err != nil {
-			c.broken = core.ErrPeer.New("answer broke off: %v", err)
-			return core.Answer{}, c.broken
+			c.readErr = core.ErrPeer.New("decode answer: %v", err)
+			return core.Answer{}, c.readErr
 		}
 		if !r.Goodbye {
 			return r.Answer, nil
 		}
-		c.leaving = true
+		c.ownerStopping = true
 	}
 }
 
@@ -123,7 +125,7 @@
 
 // Idle implements core.LineConn.
 func (c *Conn) Idle() bool {
-	return !c.leaving && c.broken == nil && c.in.Buffered() == 0 && sock.IsIdle(c.conn)
+	return !c.ownerStopping && c.readErr == nil && c.in.Buffered() == 0 && sock.IsIdle(c.conn)
 }
 
 // Close implements core.LineConn.
--- a/io/hop/doc.go
+++ b/io/hop/doc.go
@@ -1,10 +1,11 @@
-// Package hop carries single-line statements between entry VMs: from the one that took them from a
-// caller to the owner of the upstream, which holds the upstream's connections and its queue.
+// Package hop forwards single-line statements from the entry VM that received them from a caller to
+// the entry VM that owns the upstream. The owner holds the connections to the upstream and the queue
+// for it.
 //
 // A connection carries one statement or transaction at a time, as encoding/gob frames over TCP.
-// net/rpc has neither deadlines nor an order of calls on one connection, which transactions need.
-// An owner that stops sends a goodbye and goes on serving; the other side stops using the connection
-// as soon as nothing is in progress on it.
+// net/rpc isn't used because transactions need deadlines and ordered calls on one connection, and it
+// has neither. An owner that shuts down sends a goodbye and keeps serving; the other side stops using
+// the connection as soon as nothing is in progress on it.
 //
 // # Usage
 //
--- a/io/hop/frames.go
+++ b/io/hop/frames.go
@@ -6,27 +6,29 @@
 	"snipewall/core"
 )
 
-// hello opens a connection: the upstream that it is for.
+// hello is the first frame on a connection. It names the upstream that the connection is for.
 type hello struct {
 	Upstream core.UpstreamID
 }
 
-// welcome answers hello. A refusal has a fault.
+// welcome answers hello. Fault is set if the owner refuses the connection; otherwise Position is the
+// upstream's last known position.
 type welcome struct {
 	Fault    core.Fault
 	Position core.Position
 }
 
-// batch is what one Send carries.
+// batch is the frame of one Send. It carries durations instead of points in time, since the clocks of
+// VMs differ.
 type batch struct {
 	Commands []core.Command
-	// Left is the time that the commands have, since the clocks of VMs differ.
+	// Left is the time until the deadline of the commands; 0 means defaultTimeout.
 	Left time.Duration
-	// Wait is the part of it in which they may wait for a slot and a connection; 0 means all of it.
+	// Wait is how long the commands may wait for a slot and a connection; 0 means until the deadline.
 	Wait time.Duration
 }
 
-// reply is the answer to one command, or a goodbye.
+// reply is the answer to one command, or the announcement that the owner shuts down.
 type reply struct {
 	Goodbye bool
 	Answer  core.Answer
--- a/io/hop/hop_test.go
+++ b/io/hop/hop_test.go
@@ -14,33 +14,33 @@
 	"snipewall/core"
 )
 
-// echo is a relay that answers each command with its text.
-type echo struct {
-	mu     sync.Mutex
-	delay  time.Duration
-	left   time.Duration
-	pauses int
-	closed chan struct{}
+// echoRelay is a relay that answers each command with its text.
+type echoRelay struct {
+	mu        sync.Mutex
+	delay     time.Duration
+	remaining time.Duration
+	pauses    int
+	closed    chan struct{}
 }
 
-func (e *echo) Execute(_ context.Context, cmd core.Command, deadline time.Time) core.Answer {
+func (e *echoRelay) Execute(_ context.Context, cmd core.Command, deadline time.Time) core.Answer {
 	e.mu.Lock()
-	e.left = time.Until(deadline)
+	e.remaining = time.Until(deadline)
 	delay := e.delay
 	e.mu.Unlock()
 	time.Sleep(delay)
 	return core.Answer{Body: []byte(cmd.Text), Status: core.TxIdle, Position: core.Position{Term: 2, Offset: 5}}
 }
 
-func (e *echo) Pause() {
+func (e *echoRelay) Pause() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.pauses++
 }
 
-func (e *echo) Close() { close(e.closed) }
+func (e *echoRelay) Close() { close(e.closed) }
 
-func newPair(t *testing.T, e *echo) (*Server, *Conn) {
+func newPair(t *testing.T, e *echoRelay) (*Server, *Conn) {
 	t.Helper()
 	e.closed = make(chan struct{})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -67,9 +67,9 @@
 	return srv, c
 }
 
-// Guards against answers that are lost, reordered or late, and against deadlines that don't travel.
+// Guards against answers that are lost or reordered, and against deadlines that don't reach the owner.
 func TestBatch(t *testing.T) {
-	e := &echo{}
+	e := &echoRelay{}
 	_, c := newPair(t, e)
 	assert.Equal(t, c.Hello(), core.Position{Term: 1, Offset: 3})
 	cmds := []core.Command{{Text: "a"}, {Text: "b", Deadline: time.Now().Add(700 * time.Millisecond)}, {Text: "c"}}
@@ -83,12 +83,12 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	assert.Equal(t, e.pauses, 1)
-	assert.Assert(t, e.left <= 700*time.Millisecond && e.left > 100*time.Millisecond, "%v left", e.left)
+	assert.Assert(t, e.remaining <= 700*time.Millisecond && e.remaining > 100*time.Millisecond, "%v left", e.remaining)
 }
 
-// Guards against a late answer that is taken for that of the next command.
+// Guards against a timeout that makes the connection lose an answer which arrives later.
 func TestLateAnswer(t *testing.T) {
-	_, c := newPair(t, &echo{delay: 150 * time.Millisecond})
+	_, c := newPair(t, &echoRelay{delay: 150 * time.Millisecond})
 	assert.NilError(t, c.Send([]core.Command{{Text: "a"}}))
 	_, err := c.Receive(time.Now().Add(30 * time.Millisecond))
 	assert.ErrorContains(t, err, "timeout")
@@ -97,9 +97,10 @@
 	assert.Equal(t, string(ans.Body), "a")
 }
 
-// Guards against using an owner that stops, and against cutting what is in progress there.
+// Guards against further use of an owner that shuts down, and against interrupting the statements in
+// progress there.
 func TestGoodbye(t *testing.T) {
-	srv, c := newPair(t, &echo{delay: 100 * time.Millisecond})
+	srv, c := newPair(t, &echoRelay{delay: 100 * time.Millisecond})
 	assert.NilError(t, c.Send([]core.Command{{Text: "a"}}))
 	time.Sleep(30 * time.Millisecond)
 	srv.AnnounceShutdown()
@@ -109,9 +110,9 @@
 	assert.Assert(t, !c.Idle())
 }
 
-// Guards against an owner that keeps a transaction open after the other VM is gone.
+// Guards against an owner that keeps a transaction open after the other VM has closed its connection.
 func TestPeerGone(t *testing.T) {
-	e := &echo{}
+	e := &echoRelay{}
 	_, c := newPair(t, e)
 	assert.NilError(t, c.Close())
 	select {
--- a/io/hop/server.go
+++ b/io/hop/server.go
@@ -16,26 +16,27 @@
 )
 
 const (
-	// helloTimeout limits the time until a new connection has named its upstream.
+	// helloTimeout limits the time until a new connection sends its hello.
 	helloTimeout = 3 * time.Second
 	// writeTimeout limits a write to a peer that doesn't read.
 	writeTimeout = 3 * time.Second
-	// defaultLeft is the time of commands that name none, such as ROLLBACK.
-	defaultLeft = time.Second
-	// goodbyeTimeout limits the write of a goodbye.
+	// defaultTimeout is the timeout of commands without a deadline, such as ROLLBACK.
+	defaultTimeout = time.Second
+	// goodbyeTimeout limits the write of a goodbye, which the shutdown waits for.
 	goodbyeTimeout = 100 * time.Millisecond
-	// idleTimeout ends connections that nobody uses.
+	// idleTimeout is the time without a batch after which a connection is closed.
 	idleTimeout = 2 * time.Minute
 )
 
-// Relay runs the commands of one connection on an upstream that this entry VM owns. It is used by one
-// goroutine at a time.
+// Relay runs the commands of one connection on an upstream that this entry VM owns. It needs no
+// locking: one goroutine uses it at a time.
 type Relay interface {
 	// Execute runs one command until the deadline.
 	Execute(ctx context.Context, cmd core.Command, deadline time.Time) core.Answer
-	// Pause tells that no further command has arrived yet.
+	// Pause is called after the last command of each batch, so that a transaction can give up its slot
+	// until its next statement arrives.
 	Pause()
-	// Close rolls back what is open.
+	// Close rolls back an open transaction.
 	Close()
 }
 
@@ -51,11 +52,11 @@
 // Server is the service "hop".
 type Server struct {
 	*sock.Server[*peer]
-	cfg     ServerConfig
-	leaving atomic.Bool
+	cfg      ServerConfig
+	stopping atomic.Bool
 }
 
-// NewServer returns a server.
+// NewServer returns a server that accepts connections once Run is called.
 func NewServer(cfg ServerConfig) *Server {
 	s := &Server{cfg: cfg}
 	s.Server = sock.NewServer(sock.ServerConfig[*peer]{
@@ -74,10 +75,11 @@
 	return p
 }
 
-// AnnounceShutdown asks the other entry VMs to stop using their connections. They are served until Run ends.
+// AnnounceShutdown asks the other entry VMs to stop using their connections, and refuses new ones. It
+// doesn't wait: the connections are served until Run ends.
 func (s *Server) AnnounceShutdown() {
-	s.leaving.Store(true)
-	s.Each((*peer).goodbye)
+	s.stopping.Store(true)
+	s.Each((*peer).sendGoodbye)
 }
 
 // peer is one connection from another entry VM.
@@ -87,12 +89,12 @@
 	in     *bufio.Reader
 	dec    *gob.Decoder
 
-	// mu is held while a frame is written.
+	// mu is held while a frame is written to out or enc.
 	mu  sync.Mutex
 	out *bufio.Writer
 	enc *gob.Encoder
-	// welcomed tells that frames other than the welcome may be written.
-	welcomed bool
+	// welcomeSent is set after the welcome, before which no other frame may be written.
+	welcomeSent bool
 }
 
 func (p *peer) run(ctx context.Context) {
@@ -103,23 +105,23 @@
 	if err := p.dec.Decode(&h); err != nil {
 		return
 	}
-	relay, at, ok := p.server.cfg.Open(h.Upstream)
-	if !ok || p.server.leaving.Load() {
+	relay, position, ok := p.server.cfg.Open(h.Upstream)
+	if !ok || p.server.stopping.Load() {
 		p.write(welcome{Fault: core.FaultBusy})
 		return
 	}
 	defer relay.Close()
-	if !p.write(welcome{Position: at}) {
+	if !p.write(welcome{Position: position}) {
 		return
 	}
 	p.mu.Lock()
-	p.welcomed = true
+	p.welcomeSent = true
 	p.mu.Unlock()
 	for p.serve(ctx, relay) {
 	}
 }
 
-// serve runs one batch and reports whether the connection goes on.
+// serve runs the next batch. It returns false if the connection must be closed.
 func (p *peer) serve(ctx context.Context, relay Relay) bool {
 	if err := p.conn.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 		return false
@@ -129,7 +131,7 @@
 		return false
 	}
 	if b.Left <= 0 {
-		b.Left = defaultLeft
+		b.Left = defaultTimeout
 	}
 	if b.Wait <= 0 {
 		b.Wait = b.Left
@@ -150,7 +152,7 @@
 	return true
 }
 
-// reply writes a frame, and sends all that waits if it is the last of its batch.
+// reply buffers a frame, and flushes the buffer if the frame is the last of its batch.
 func (p *peer) reply(r reply, last bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -166,7 +168,7 @@
 	return p.enc.Encode(frame) == nil && p.flush()
 }
 
-// flush sends what waits. The caller holds mu.
+// flush sends the buffered frames. The caller holds mu.
 func (p *peer) flush() bool {
 	if err := p.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return false
@@ -174,11 +176,11 @@
 	return p.out.Flush() == nil
 }
 
-// goodbye tells the other side that this entry VM stops.
-func (p *peer) goodbye() {
+// sendGoodbye tells the other side that this entry VM shuts down.
+func (p *peer) sendGoodbye() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.welcomed {
+	if !p.welcomeSent {
 		return
 	}
 	if err := p.enc.Encode(reply{Goodbye: true}); err != nil {
@@ -187,6 +189,6 @@
 	if err := p.conn.SetWriteDeadline(time.Now().Add(goodbyeTimeout)); err != nil {
 		return
 	}
-	// A peer that can't be told finds out when the connection ends.
+	// If the write fails, the peer notices when the connection is closed.
 	_ = p.out.Flush()
 }
