--- a/io/relay/client.go
+++ b/io/relay/client.go
@@ -26,9 +26,9 @@
 const (
 	// DefaultMaxIdle is the number of idle connections kept for each entry VM.
 	DefaultMaxIdle = 32
-	// IdleTime is how long an idle connection is kept. In a large fleet an entry VM forwards to
-	// hundreds of others, to most of them seldom.
-	IdleTime = 30 * time.Second
+	// IdleTimeout is how long an idle connection is kept. In a large fleet an entry VM forwards to
+	// hundreds of others, most of which it rarely needs.
+	IdleTimeout = 30 * time.Second
 )
 
 // Client opens connections to other entry VMs and keeps idle ones.
@@ -36,7 +36,7 @@
 	cfg ClientConfig
 	mu  sync.Mutex
 	// idle holds the idle connections by address, the most recently used one last.
-	idle map[string][]*link
+	idle map[string][]*clientConn
 }
 
 // NewClient returns a client without connections.
@@ -50,7 +50,7 @@
 			return d.DialContext(ctx, "tcp", address)
 		}
 	}
-	return &Client{cfg: cfg, idle: make(map[string][]*link)}
+	return &Client{cfg: cfg, idle: make(map[string][]*clientConn)}
 }
 
 // Name implements core.Service.
@@ -58,7 +58,7 @@
 
 // ClientState is the client's part of a state dump.
 type ClientState struct {
-	// Idle is the number of idle connections, Peers of the entry VMs that they lead to.
+	// Idle is the number of idle connections, Peers the number of entry VMs that they lead to.
 	Idle, Peers int
 }
 
@@ -67,15 +67,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := ClientState{Peers: len(c.idle)}
-	for _, links := range c.idle {
-		s.Idle += len(links)
+	for _, conns := range c.idle {
+		s.Idle += len(conns)
 	}
 	return s
 }
 
-// Run closes connections that were idle for too long, until ctx ends, and then all idle ones.
+// Run closes connections that have been idle for IdleTimeout. When ctx ends, it closes all idle ones
+// and returns nil.
 func (c *Client) Run(ctx context.Context) error {
-	ticker := time.NewTicker(IdleTime / 3)
+	ticker := time.NewTicker(IdleTimeout / 3)
 	defer ticker.Stop()
 	for {
 		select {
@@ -88,24 +89,24 @@
 	}
 }
 
-// expire closes the connections that were not used since IdleTime.
+// expire closes the connections that have been idle for IdleTimeout.
 func (c *Client) expire(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for address, links := range c.idle {
+	for address, conns := range c.idle {
 		old := 0
-		for old < len(links) && now.Sub(links[old].lastUsed) >= IdleTime {
-			links[old].close()
+		for old < len(conns) && now.Sub(conns[old].lastUsed) >= IdleTimeout {
+			conns[old].close()
 			old++
 		}
-		c.idle[address] = links[old:]
-		if old == len(links) {
+		c.idle[address] = conns[old:]
+		if old == len(conns) {
 			delete(c.idle, address)
 		}
 	}
 }
 
-// Executor returns an executor that forwards to the entry VM for the upstream.
+// Executor returns an executor that forwards requests for the upstream to the entry VM.
 func (c *Client) Executor(vm core.VM, upstream core.UpstreamID) core.Executor {
 	return &executor{client: c, address: vm.Relay, upstream: upstream}
 }
@@ -114,55 +115,55 @@
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for address, links := range c.idle {
-		for _, l := range links {
-			l.close()
+	for address, conns := range c.idle {
+		for _, cc := range conns {
+			cc.close()
 		}
 		delete(c.idle, address)
 	}
 }
 
-// take returns a connection that is known to answer.
-func (c *Client) take(ctx context.Context, address string) (*link, error) {
+// acquire returns an idle connection that still answers, or a new one.
+func (c *Client) acquire(ctx context.Context, address string) (*clientConn, error) {
 	for {
-		l := c.pop(address)
-		if l == nil {
+		cc := c.pop(address)
+		if cc == nil {
 			return c.dial(ctx, address)
 		}
-		if time.Since(l.lastUsed) < IdleCheck {
-			return l, nil
+		if time.Since(cc.lastUsed) < IdleCheckAfter {
+			return cc, nil
 		}
-		if err := l.ping(); err == nil {
-			return l, nil
+		if err := cc.ping(); err == nil {
+			return cc, nil
 		}
-		l.close()
+		cc.close()
 	}
 }
 
-func (c *Client) pop(address string) *link {
+func (c *Client) pop(address string) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	links := c.idle[address]
-	if len(links) == 0 {
+	conns := c.idle[address]
+	if len(conns) == 0 {
 		return nil
 	}
-	l := links[len(links)-1]
-	c.idle[address] = links[:len(links)-1]
-	return l
+	cc := conns[len(conns)-1]
+	c.idle[address] = conns[:len(conns)-1]
+	return cc
 }
 
-func (c *Client) put(l *link) {
-	l.lastUsed = time.Now()
+func (c *Client) put(cc *clientConn) {
+	cc.lastUsed = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[l.address]) >= c.cfg.MaxIdle {
-		l.close()
+	if len(c.idle[cc.address]) >= c.cfg.MaxIdle {
+		cc.close()
 		return
 	}
-	c.idle[l.address] = append(c.idle[l.address], l)
+	c.idle[cc.address] = append(c.idle[cc.address], cc)
 }
 
-func (c *Client) dial(ctx context.Context, address string) (*link, error) {
+func (c *Client) dial(ctx context.Context, address string) (*clientConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, DialTimeout)
 	defer cancel()
 	conn, err := c.cfg.Dial(ctx, address)
@@ -170,85 +171,85 @@
 		return nil, core.ErrPeer.Wrap(err)
 	}
 	out := bufio.NewWriter(conn)
-	l := &link{
+	cc := &clientConn{
 		address: address, conn: conn, out: out,
 		enc: gob.NewEncoder(out), dec: gob.NewDecoder(bufio.NewReader(conn)),
 	}
-	l.messages = pgproto3.NewFrontend(&l.data, nil)
-	return l, nil
+	cc.messages = pgproto3.NewFrontend(&cc.data, nil)
+	return cc, nil
 }
 
-// link is one connection to another entry VM.
-type link struct {
+// clientConn is the client's side of one connection.
+type clientConn struct {
 	address  string
 	conn     net.Conn
 	out      *bufio.Writer
 	enc      *gob.Encoder
 	dec      *gob.Decoder
 	lastUsed time.Time
-	// data holds the bytes of the answer that messages decodes.
+	// data holds the received bytes that messages has not decoded yet.
 	data     bytes.Buffer
 	messages *pgproto3.Frontend
 }
 
-func (l *link) close() { _ = l.conn.Close() }
+func (cc *clientConn) close() { _ = cc.conn.Close() }
 
-func (l *link) send(r *Request) error {
-	if err := l.conn.SetWriteDeadline(time.Now().Add(SilenceLimit)); err != nil {
+func (cc *clientConn) send(r *Request) error {
+	if err := cc.conn.SetWriteDeadline(time.Now().Add(HeartbeatTimeout)); err != nil {
 		return err
 	}
-	if err := l.enc.Encode(r); err != nil {
+	if err := cc.enc.Encode(r); err != nil {
 		return err
 	}
-	return l.out.Flush()
+	return cc.out.Flush()
 }
 
-func (l *link) receive() (*Answer, error) {
-	if err := l.conn.SetReadDeadline(time.Now().Add(SilenceLimit)); err != nil {
+func (cc *clientConn) receive() (*Answer, error) {
+	if err := cc.conn.SetReadDeadline(time.Now().Add(HeartbeatTimeout)); err != nil {
 		return nil, err
 	}
 	var a Answer
-	if err := l.dec.Decode(&a); err != nil {
+	if err := cc.dec.Decode(&a); err != nil {
 		return nil, err
 	}
 	return &a, nil
 }
 
-// ping checks that the other side answers.
-func (l *link) ping() error {
-	if err := l.send(&Request{Ping: true}); err != nil {
+// ping waits for the other side to answer an empty request.
+func (cc *clientConn) ping() error {
+	if err := cc.send(&Request{Ping: true}); err != nil {
 		return err
 	}
-	_, err := l.receive()
+	_, err := cc.receive()
 	return err
 }
 
-// run sends the request and passes the answer on until its end.
-func (l *link) run(ctx context.Context, req *core.Request, upstream core.UpstreamID, w core.ResponseWriter) (*End, error) {
+// run sends the request and forwards its answer to w.
+func (cc *clientConn) run(ctx context.Context, req *core.Request, upstream core.UpstreamID, w core.ResponseWriter) (*End, error) {
 	frame, err := newRequest(req, upstream)
 	if err != nil {
 		return nil, core.ErrPeer.Wrap(err)
 	}
 	req.Attempt.MarkSent()
-	return l.exchange(ctx, frame, w)
+	return cc.exchange(ctx, frame, w)
 }
 
-// exchange sends a frame and reads the frames of its answer; w may be nil if there is no data.
-func (l *link) exchange(ctx context.Context, frame *Request, w core.ResponseWriter) (*End, error) {
-	stop := context.AfterFunc(ctx, l.close)
+// exchange sends a frame and reads the frames of its answer. w may be nil if the answer has no data.
+func (cc *clientConn) exchange(ctx context.Context, frame *Request, w core.ResponseWriter) (*End, error) {
+	stop := context.AfterFunc(ctx, cc.close)
 	defer stop()
-	if err := l.send(frame); err != nil {
+	if err := cc.send(frame); err != nil {
 		return nil, core.ErrPeer.Wrap(err)
 	}
 	for {
-		a, err := l.receive()
+		a, err := cc.receive()
 		if err != nil {
 			return nil, core.ErrPeer.Wrap(err)
 		}
 		if a.ID != frame.ID {
 			continue
 		}
-		if err := l.passOn(a.Data, w); err != nil {
+		if err := cc.forward(a.Data, w); err != nil {
 			return nil, err
 		}
 		if a.End == nil {
@@ -261,11 +262,12 @@
 	}
 }
 
-// passOn decodes whole backend messages and hands them to w.
-func (l *link) passOn(data []byte, w core.ResponseWriter) error {
-	l.data.Write(data)
-	for l.data.Len() > 0 || l.messages.ReadBufferLen() > 0 {
-		msg, err := l.messages.Receive()
+// forward decodes the backend messages in data and sends them to w. The data must end with a whole
+// message.
+func (cc *clientConn) forward(data []byte, w core.ResponseWriter) error {
+	cc.data.Write(data)
+	for cc.data.Len() > 0 || cc.messages.ReadBufferLen() > 0 {
+		msg, err := cc.messages.Receive()
 		if err != nil {
 			return core.ErrPeer.New("answer is damaged: %v", err)
 		}
@@ -283,60 +285,61 @@
 	upstream core.UpstreamID
 }
 
-// Execute forwards the request. An error before anything was sent leaves req.Attempt unmarked.
+// Execute forwards the request. If it fails before anything was sent, req.Attempt isn't marked as sent.
 func (e *executor) Execute(ctx context.Context, req *core.Request, w core.ResponseWriter) (core.Result, error) {
-	l, err := e.client.take(ctx, e.address)
+	cc, err := e.client.acquire(ctx, e.address)
 	if err != nil {
 		return core.Result{}, err
 	}
-	return e.client.finish(ctx, l, req, e.upstream, w)
+	return e.client.runOn(ctx, cc, req, e.upstream, w)
 }
 
-// SessionIndex asks the entry VM that owns the primary; see core.SessionIndexer. It has the time until
-// ctx's deadline.
+// SessionIndex implements core.SessionIndexer by asking the entry VM that owns the primary. ctx must
+// have a deadline, which is passed on as the time left.
 func (e *executor) SessionIndex(ctx context.Context, session core.SessionID) (core.Position, error) {
-	l, err := e.client.take(ctx, e.address)
+	cc, err := e.client.acquire(ctx, e.address)
 	if err != nil {
 		return core.Position{}, err
 	}
 	deadline, _ := ctx.Deadline()
 	frame := &Request{Index: true, Upstream: e.upstream, Session: session, Remaining: time.Until(deadline)}
-	end, err := l.exchange(ctx, frame, nil)
+	end, err := cc.exchange(ctx, frame, nil)
 	if err != nil {
-		l.close()
+		cc.close()
 		return core.Position{}, err
 	}
-	e.client.put(l)
+	e.client.put(cc)
 	if end.Failure != nil {
 		return core.Position{}, core.ErrPeer.New("%s", end.Failure.Reason)
 	}
 	return end.Position, nil
 }
 
-// finish runs the request on the connection and decides what becomes of the connection.
-func (c *Client) finish(ctx context.Context, l *link, req *core.Request, upstream core.UpstreamID, w core.ResponseWriter) (core.Result, error) {
-	end, err := l.run(ctx, req, upstream, w)
+// runOn runs the request on the connection. Afterwards the connection is idle, belongs to the open
+// transaction in the result, or is closed because of an error.
+func (c *Client) runOn(ctx context.Context, cc *clientConn, req *core.Request, upstream core.UpstreamID, w core.ResponseWriter) (core.Result, error) {
+	end, err := cc.run(ctx, req, upstream, w)
 	if err != nil {
-		l.close()
+		cc.close()
 		return core.Result{}, err
 	}
 	if end.Failure != nil {
-		c.put(l)
+		c.put(cc)
 		return core.Result{}, end.Failure.err(req)
 	}
 	res := core.Result{Status: end.Status, Position: end.Position, Upstream: end.Upstream, Err: end.SQL}
 	if end.Status == core.TxIdle {
-		c.put(l)
+		c.put(cc)
 		return res, nil
 	}
-	res.Tx = &tx{client: c, link: l, upstream: upstream}
+	res.Tx = &tx{client: c, conn: cc, upstream: upstream}
 	return res, nil
 }
 
-// tx is a transaction on another entry VM. It owns its connection.
+// tx is an open transaction on another entry VM. No other request uses its connection.
 type tx struct {
 	client   *Client
-	link     *link
+	conn     *clientConn
 	upstream core.UpstreamID
 	closed   bool
 }
@@ -347,7 +350,7 @@
 		return core.Result{}, core.ErrPeer.New("transaction is closed")
 	}
 	req.InTx = true
-	res, err := t.client.finish(ctx, t.link, req, t.upstream, w)
+	res, err := t.client.runOn(ctx, t.conn, req, t.upstream, w)
 	if err != nil || res.Status == core.TxIdle {
 		t.closed = true
 		return res, err
@@ -356,13 +359,13 @@
 	return res, nil
 }
 
-// Close closes the connection, which rolls the transaction back.
+// Close closes the connection, which makes the other entry VM roll the transaction back.
 func (t *tx) Close() error {
 	if t.closed {
 		return nil
 	}
 	t.closed = true
-	if err := t.link.conn.Close(); err != nil {
+	if err := t.conn.conn.Close(); err != nil {
 		return fmt.Errorf("close relayed transaction: %w", err)
 	}
 	return nil
--- a/io/relay/doc.go
+++ b/io/relay/doc.go
@@ -1,12 +1,11 @@
 // Package relay forwards requests from the entry VM that received them to the entry VM that owns
 // the upstream.
 //
-// A connection carries one request or one transaction at a time as gob frames, so an answer can't
-// reach another request, and closing the connection cancels the request or rolls the transaction
-// back. While a request runs, the server sends heartbeats; a client that hears nothing for
-// SilenceLimit gives the connection up. Connections that were idle for longer than IdleCheck are
-// pinged before they carry a request, because a connection that went silent would otherwise turn a
-// write into an unknown outcome.
+// A connection carries one request or one transaction at a time, as encoding/gob frames. An answer
+// therefore can't reach another request, and closing the connection cancels the request or rolls the
+// transaction back. While a request runs, the server sends heartbeats; a client that receives nothing
+// for HeartbeatTimeout closes the connection. A connection that was idle for IdleCheckAfter is pinged
+// before it carries a request, because a write sent on a dead connection has an unknown outcome.
 //
 // # Usage
 //
--- a/io/relay/frames.go
+++ b/io/relay/frames.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	// HeartbeatInterval is how often the server sends a sign of life while a request runs.
+	// HeartbeatInterval is how often the server sends a heartbeat while a request runs.
 	HeartbeatInterval = 200 * time.Millisecond
-	// SilenceLimit is how long a client waits for any frame before it gives the connection up.
-	SilenceLimit = time.Second
-	// IdleCheck is the idle time after which a connection is pinged before use.
-	IdleCheck = time.Second
+	// HeartbeatTimeout is how long a client waits for the next frame before it closes the connection.
+	// It also limits each write.
+	HeartbeatTimeout = time.Second
+	// IdleCheckAfter is the idle time after which a connection is pinged before use.
+	IdleCheckAfter = time.Second
 	// DialTimeout limits the set-up of a connection to another entry VM.
 	DialTimeout = 300 * time.Millisecond
-	// chunkSize is the number of answer bytes that the server collects before it sends a frame.
+	// chunkSize is the number of bytes of an answer that the server buffers before it sends a frame.
 	chunkSize = 16 << 10
 )
 
-// Request is the frame from the client. Ping asks for a heartbeat only, Index for the session's
-// index on the upstream, which is the primary.
+// Request is a frame from the client. With Ping it only asks for an empty answer, and with Index for
+// the session's read index on the upstream, which must be the primary.
 type Request struct {
 	Ping     bool
 	Index    bool
 	ID       uint64
 	Upstream core.UpstreamID
-	// InTx continues the connection's transaction.
+	// InTx runs the request in the connection's open transaction.
 	InTx        bool
 	Group       core.GroupID
 	Kind        core.Kind
@@ -50,14 +51,15 @@
 	Prepared []byte
 }
 
-// Answer is the frame from the server. It is a heartbeat, a piece of the answer, or the end.
+// Answer is a frame from the server: a heartbeat if it has neither Data nor End, otherwise a part of
+// the answer to the request with the same ID. End is set in the last part.
 type Answer struct {
 	ID   uint64
 	Data []byte
 	End  *End
 }
 
-// End closes an answer.
+// End is the outcome of a request. Failure is set if the executor returned an error.
 type End struct {
 	Status   core.TxStatus
 	Position core.Position
@@ -66,12 +68,12 @@
 	Failure  *Failure
 }
 
-// FailureKind tells the typed errors of an Executor apart on the wire.
+// FailureKind is the type of an Executor's error on the wire.
 type FailureKind uint8
 
 // Kinds of failures.
 const (
-	// FailureOther is any other error; Sent tells whether the request may have run.
+	// FailureOther is any other error; Failure.Sent reports whether the request may have run.
 	FailureOther FailureKind = iota
 	FailureNotRun
 	FailureRedirect
@@ -79,7 +81,8 @@
 	FailureDuplicate
 )
 
-// Failure carries a typed error.
+// Failure is the wire form of an Executor's error. Sent reports whether anything was sent to the
+// upstream, so that the request may have run.
 type Failure struct {
 	Kind       FailureKind
 	State      string
@@ -91,7 +94,7 @@
 	Sent       bool
 }
 
-// newFailure converts an Executor's error to its wire form.
+// newFailure converts an Executor's error to its wire form; sent applies to errors of other types.
 func newFailure(err error, sent bool) *Failure {
 	var notRun *core.NotRunError
 	var redirect *core.RedirectError
@@ -111,7 +114,7 @@
 	}
 }
 
-// err converts the wire form back and settles the attempt.
+// err converts the wire form back to an error, and marks the attempt as not run if nothing was sent.
 func (f *Failure) err(req *core.Request) error {
 	if !f.Sent {
 		req.Attempt.ConfirmNotRun()
@@ -151,7 +154,7 @@
 	}, nil
 }
 
-// request converts the wire form back.
+// request converts the wire form back to a request.
 func (r *Request) request() (*core.Request, error) {
 	messages, err := decodeMessages(r.Messages)
 	if err != nil {
@@ -191,7 +194,7 @@
 	return buf, nil
 }
 
-// headerSize is the type byte and the length of a message.
+// headerSize is the size of a message's header in bytes: the type byte and the length.
 const headerSize = 5
 
 // decodeMessages splits encoded frontend messages. The messages refer to buf.
--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -16,7 +16,7 @@
 	"snipewall/core"
 )
 
-// pipeListener hands out in-memory connections, which the paused clock of synctest can follow.
+// pipeListener accepts in-memory connections, since synctest doesn't support network connections.
 type pipeListener struct {
 	conns chan net.Conn
 	once  sync.Once
@@ -55,10 +55,10 @@
 	return f(ctx, req, w)
 }
 
-// collect keeps copies of the rows of an answer.
-type collect struct{ rows []string }
+// rowCollector keeps copies of the rows of an answer.
+type rowCollector struct{ rows []string }
 
-func (c *collect) Send(msg pgproto3.BackendMessage) error {
+func (c *rowCollector) Send(msg pgproto3.BackendMessage) error {
 	if row, ok := msg.(*pgproto3.DataRow); ok {
 		c.rows = append(c.rows, string(row.Values[0]))
 	}
@@ -101,7 +101,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		exec := start(t, echo)
 		for id, sql := range []string{"select 1", "select 2"} {
-			var got collect
+			var got rowCollector
 			res, err := exec.Execute(t.Context(), newTestRequest(uint64(id+1), sql), &got)
 			assert.NilError(t, err)
 			assert.DeepEqual(t, got.rows, []string{sql})
@@ -110,7 +110,8 @@
 	})
 }
 
-// Guards against typed errors that lose their type, and so their truth, on the way.
+// Guards against errors that lose their type on the way, so that a request that has not run is reported
+// as one that may have run, or the other way round.
 func TestRelayKeepsErrorTypes(t *testing.T) {
 	var notRun *core.NotRunError
 	var redirected *core.RedirectError
@@ -134,7 +135,7 @@
 					return core.Result{}, tt.err
 				})
 				req := newTestRequest(1, "select 1")
-				_, err := exec.Execute(t.Context(), req, &collect{})
+				_, err := exec.Execute(t.Context(), req, &rowCollector{})
 				assert.Assert(t, errors.As(err, tt.want), "got %v", err)
 				assert.Equal(t, req.Attempt.Sent(), tt.sent)
 			})
@@ -142,15 +143,15 @@
 	}
 }
 
-// Guards against waiting for the whole deadline on a connection that went silent, and against
-// giving up a request that is only slow.
-func TestRelaySilence(t *testing.T) {
+// Guards against waiting until the deadline on a connection whose other side has stopped answering,
+// and against closing the connection of a request that is only slow.
+func TestRelayHeartbeatTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		exec := start(t, func(ctx context.Context, req *core.Request, w core.ResponseWriter) (core.Result, error) {
-			time.Sleep(3 * SilenceLimit)
+			time.Sleep(3 * HeartbeatTimeout)
 			return echo(ctx, req, w)
 		})
-		_, err := exec.Execute(t.Context(), newTestRequest(1, "select slow"), &collect{})
+		_, err := exec.Execute(t.Context(), newTestRequest(1, "select slow"), &rowCollector{})
 		assert.NilError(t, err)
 	})
 	synctest.Test(t, func(t *testing.T) {
@@ -168,14 +169,15 @@
 		}})
 		began := time.Now()
 		req := newTestRequest(1, "select 1")
-		_, err := client.Executor(core.VM{Relay: "vm-2"}, "berth-1").Execute(t.Context(), req, &collect{})
+		_, err := client.Executor(core.VM{Relay: "vm-2"}, "berth-1").Execute(t.Context(), req, &rowCollector{})
 		assert.Assert(t, err != nil && req.Attempt.Sent())
-		assert.Equal(t, time.Since(began), SilenceLimit)
+		assert.Equal(t, time.Since(began), HeartbeatTimeout)
 		assert.Equal(t, client.Dump(), any(ClientState{}))
 	})
 }
 
-// Guards against work that goes on for a caller that has gone, and against reuse of its connection.
+// Guards against a request that goes on running after its caller has canceled it, and against reuse
+// of its connection.
 func TestRelayCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var canceled atomic.Bool
@@ -186,14 +188,14 @@
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		_, err := exec.Execute(ctx, newTestRequest(1, "select 1"), &collect{})
+		_, err := exec.Execute(ctx, newTestRequest(1, "select 1"), &rowCollector{})
 		assert.Assert(t, err != nil)
 		synctest.Wait()
 		assert.Assert(t, canceled.Load())
 	})
 }
 
-// Guards against connections to hundreds of entry VMs that stay open after their last use.
+// Guards against idle connections to hundreds of entry VMs that are never closed.
 func TestRelayIdleConnectionsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ln := newPipeListener()
@@ -204,11 +206,11 @@
 		go func() { ends <- srv.Run(ctx) }()
 		go func() { ends <- client.Run(ctx) }()
 		for _, address := range []string{"vm-2", "vm-3"} {
-			_, err := client.Executor(core.VM{Relay: address}, "berth-1").Execute(t.Context(), newTestRequest(1, "select 1"), &collect{})
+			_, err := client.Executor(core.VM{Relay: address}, "berth-1").Execute(t.Context(), newTestRequest(1, "select 1"), &rowCollector{})
 			assert.NilError(t, err)
 		}
 		assert.Equal(t, client.Dump(), any(ClientState{Idle: 2, Peers: 2}))
-		time.Sleep(IdleTime + IdleTime/2)
+		time.Sleep(IdleTimeout + IdleTimeout/2)
 		assert.Equal(t, client.Dump(), any(ClientState{}))
 		cancel()
 		assert.NilError(t, <-ends)
@@ -227,7 +229,7 @@
 
 func (x *fakeTx) Close() error { x.closed.Store(true); return nil }
 
-// Guards against a transaction that outlives the caller's side.
+// Guards against a transaction that stays open after the client has closed its connection.
 func TestRelayTransactionEndsWithItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var closed atomic.Bool
@@ -239,9 +241,9 @@
 		}
 		inTx.fakeExecutor = open
 		exec := start(t, open)
-		res, err := exec.Execute(t.Context(), newTestRequest(1, "begin"), &collect{})
+		res, err := exec.Execute(t.Context(), newTestRequest(1, "begin"), &rowCollector{})
 		assert.NilError(t, err)
-		var got collect
+		var got rowCollector
 		res, err = res.Tx.Run(t.Context(), newTestRequest(2, "update"), &got)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, got.rows, []string{"update"})
--- a/io/relay/server.go
+++ b/io/relay/server.go
@@ -21,7 +21,8 @@
 // ServerConfig configures a Server.
 type ServerConfig struct {
 	Listener net.Listener
-	// Find returns the executor of an upstream that this entry VM owns or stands in for.
+	// Find returns the executor of an upstream, or false if this entry VM neither owns the upstream nor
+	// stands in for its owner.
 	Find func(id core.UpstreamID) (core.Executor, bool)
 	Log  log.Logger
 }
@@ -34,7 +35,7 @@
 	served   atomic.Int64
 }
 
-// NewServer returns a server that starts with Run.
+// NewServer returns a server that accepts connections once Run is called.
 func NewServer(cfg ServerConfig) *Server {
 	if cfg.Log == nil {
 		cfg.Log = log.NewNopLogger()
@@ -60,14 +61,14 @@
 // Active returns the number of requests and transactions in progress.
 func (s *Server) Active() int64 { return s.active.Load() }
 
-// drainCheck is how often Drain looks whether the last request has ended.
-const drainCheck = 10 * time.Millisecond
+// drainPollInterval is how often Drain checks whether the last request has ended.
+const drainPollInterval = 10 * time.Millisecond
 
-// Drain refuses new requests as not run and waits for the requests and transactions in progress. It
-// returns ctx's error if they last longer.
+// Drain makes the server refuse new requests as not run, and waits for the end of the requests and
+// transactions in progress. It returns ctx's error if ctx ends first.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
-	ticker := time.NewTicker(drainCheck)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for s.active.Load() > 0 {
 		select {
@@ -79,7 +80,8 @@
 	return nil
 }
 
-// Run accepts connections until ctx ends.
+// Run accepts connections until ctx ends. It then closes them, which rolls back open transactions, and
+// returns nil. It returns an error if the listener fails.
 func (s *Server) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -100,7 +102,7 @@
 	}
 }
 
-// serve runs the requests of one connection, one after the other.
+// serve runs the requests of one connection one at a time.
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -111,7 +113,7 @@
 	p.enc = gob.NewEncoder(p.out)
 	for r := range requests {
 		if err := p.handle(ctx, r); err != nil {
-			level.Debug(s.cfg.Log).Log("Msg", "relayed request ended with its connection", "Err", err)
+			level.Debug(s.cfg.Log).Log("Msg", "answer to a relayed request not sent", "Err", err)
 			break
 		}
 	}
@@ -120,11 +122,11 @@
 	stop()
 	_ = conn.Close()
 	if err := <-readEnd; err != nil {
-		level.Debug(s.cfg.Log).Log("Msg", "connection of an entry VM ended", "Err", err)
+		level.Debug(s.cfg.Log).Log("Msg", "reading from another entry VM failed", "Err", err)
 	}
 }
 
-// readRequests decodes frames until the connection ends, which cancels the request in progress.
+// readRequests decodes frames until the connection ends. It then cancels the request in progress.
 func readRequests(ctx context.Context, cancel context.CancelFunc, conn net.Conn, requests chan<- *Request) error {
 	defer close(requests)
 	defer cancel()
@@ -151,7 +153,7 @@
 	conn   net.Conn
 	tx     core.Tx
 
-	// mu guards out and enc, which the heartbeat shares with the answer.
+	// mu guards out and enc, which heartbeats and answers share.
 	mu  sync.Mutex
 	out *bufio.Writer
 	enc *gob.Encoder
@@ -160,7 +162,7 @@
 func (p *peerConn) send(a *Answer) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err := p.conn.SetWriteDeadline(time.Now().Add(SilenceLimit)); err != nil {
+	if err := p.conn.SetWriteDeadline(time.Now().Add(HeartbeatTimeout)); err != nil {
 		return err
 	}
 	if err := p.enc.Encode(a); err != nil {
@@ -192,14 +194,14 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
-	beatEnd := make(chan error, 1)
-	beatCtx, stopBeat := context.WithCancel(ctx)
-	go func() { beatEnd <- p.heartbeat(beatCtx, r.ID) }()
+	heartbeatEnd := make(chan error, 1)
+	heartbeatCtx, stopHeartbeat := context.WithCancel(ctx)
+	go func() { heartbeatEnd <- p.heartbeat(heartbeatCtx, r.ID) }()
 	w := &answerWriter{peer: p, id: r.ID}
 	res, err := p.run(ctx, r, req, w)
-	stopBeat()
-	if beatErr := <-beatEnd; beatErr != nil && !errors.Is(beatErr, context.Canceled) {
-		level.Debug(p.server.cfg.Log).Log("Msg", "heartbeat failed", "Err", beatErr)
+	stopHeartbeat()
+	if heartbeatErr := <-heartbeatEnd; heartbeatErr != nil && !errors.Is(heartbeatErr, context.Canceled) {
+		level.Debug(p.server.cfg.Log).Log("Msg", "heartbeat failed", "Err", heartbeatErr)
 	}
 	end := &End{Status: res.Status, Position: res.Position, Upstream: res.Upstream, SQL: res.Err}
 	if err != nil {
@@ -209,7 +211,7 @@
 	return p.send(&Answer{ID: r.ID, Data: w.buf, End: end})
 }
 
-// index answers the question for a session's index.
+// index answers a request for a session's read index.
 func (p *peerConn) index(ctx context.Context, r *Request) *Answer {
 	ctx, cancel := context.WithTimeout(ctx, r.Remaining)
 	defer cancel()
@@ -258,7 +260,7 @@
 	return res, err
 }
 
-// heartbeat sends signs of life until ctx ends.
+// heartbeat sends heartbeats until ctx ends.
 func (p *peerConn) heartbeat(ctx context.Context, id uint64) error {
 	ticker := time.NewTicker(HeartbeatInterval)
 	defer ticker.Stop()
@@ -274,7 +276,7 @@
 	}
 }
 
-// answerWriter collects the messages of an answer and sends full chunks.
+// answerWriter buffers the messages of an answer and sends them in chunks of about chunkSize.
 type answerWriter struct {
 	peer *peerConn
 	id   uint64
