--- a/io/ctrl/client.go
+++ b/io/ctrl/client.go
@@ -16,47 +16,50 @@
 // Defaults of ClientConfig.
 const (
 	defaultMaxIdle     = 64
-	defaultIdleTime    = time.Minute
+	defaultIdleTimeout = time.Minute
 	defaultCallTimeout = 5 * time.Second
 )
 
 // Dialer opens a connection to a control address.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// ClientConfig sets up a Client.
+// ClientConfig configures a Client.
 type ClientConfig struct {
 	// Dial opens connections; nil means TCP.
 	Dial Dialer
-	// MaxIdle limits the idle connections to all members, 64 if 0.
+	// MaxIdle is the number of idle connections kept for all addresses together; 0 means 64.
 	MaxIdle int
-	// IdleTime is how long an idle connection is kept, 1 min if 0. It must be below the server's.
-	IdleTime time.Duration
-	// CallTimeout limits calls whose context has no deadline, 5 s if 0.
+	// IdleTimeout is how long an idle connection is kept; 0 means 1 min. It must be shorter than the
+	// server's, so that the server doesn't close a connection that the client is about to use.
+	IdleTimeout time.Duration
+	// CallTimeout limits each call, in addition to its context's deadline; 0 means 5 s.
 	CallTimeout time.Duration
 }
 
-// Client makes control calls to other entry VMs. It is safe for concurrent use.
+// Client makes control calls to other entry VMs and keeps idle connections. It is safe for concurrent
+// use.
 type Client struct {
 	cfg ClientConfig
 
 	mu     sync.Mutex
 	closed bool
-	// idle holds *idleConn, the one that was used last in front.
-	idle      *list.List
+	// idle holds the *idleConn of all addresses, the most recently used one first.
+	idle *list.List
+	// byAddress holds the elements of idle by address, the most recently used one last.
 	byAddress map[string][]*list.Element
 }
 
 var _ peers.Transport = (*Client)(nil)
 
-// idleConn is a connection between two calls.
+// idleConn is a connection that can be kept between two calls.
 type idleConn struct {
-	address string
-	conn    net.Conn
-	rpc     *rpc.Client
-	since   time.Time
+	address   string
+	conn      net.Conn
+	rpc       *rpc.Client
+	idleSince time.Time
 }
 
-// NewClient returns a Client without connections.
+// NewClient returns a Client. It opens no connection before the first call.
 func NewClient(cfg ClientConfig) *Client {
 	if cfg.Dial == nil {
 		var d net.Dialer
@@ -67,8 +70,8 @@
 	if cfg.MaxIdle <= 0 {
 		cfg.MaxIdle = defaultMaxIdle
 	}
-	if cfg.IdleTime <= 0 {
-		cfg.IdleTime = defaultIdleTime
+	if cfg.IdleTimeout <= 0 {
+		cfg.IdleTimeout = defaultIdleTimeout
 	}
 	if cfg.CallTimeout <= 0 {
 		cfg.CallTimeout = defaultCallTimeout
@@ -76,7 +79,7 @@
 	return &Client{cfg: cfg, idle: list.New(), byAddress: make(map[string][]*list.Element)}
 }
 
-// Close closes the idle connections. Calls under way end with their contexts.
+// Close closes the idle connections. Calls in progress go on, and close their connections afterwards.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,18 +90,19 @@
 	return nil
 }
 
-// Call calls the method at the address. The answer must not be used after an error. An error that
-// the method returned is an rpc.ServerError; all errors are of class core.ErrPeer.
+// Call calls the method at the address. The answer must not be used after an error. All errors have the
+// class core.ErrPeer; an error that the method returned is also an rpc.ServerError.
 func (c *Client) Call(ctx context.Context, address, method string, req, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.CallTimeout)
 	defer cancel()
-	conn := c.take(address)
+	conn := c.acquire(address)
 	if conn != nil {
 		err := c.run(ctx, conn, method, req, answer)
 		if err == nil || !isBroken(err) || ctx.Err() != nil {
 			return wrap(address, err)
 		}
-		// The other side may have closed the connection while it was idle. Control calls may be repeated.
+		// The other side may have closed the connection while it was idle. Retrying on a new connection
+		// is safe, since all control calls may be repeated.
 	}
 	raw, err := c.cfg.Dial(ctx, address)
 	if err != nil {
@@ -115,13 +119,14 @@
 	return core.ErrPeer.New("%s: %w", address, err)
 }
 
-// isBroken reports whether the connection can't be used anymore.
+// isBroken reports whether the connection can't be used anymore after the error. An error that the
+// method returned leaves it usable.
 func isBroken(err error) bool {
 	var fromMethod rpc.ServerError
 	return err != nil && !errors.As(err, &fromMethod)
 }
 
-// run makes one call on the connection and keeps the connection afterwards if it still works.
+// run makes one call on the connection. Afterwards the connection is idle, or closed if it failed.
 func (c *Client) run(ctx context.Context, conn *idleConn, method string, req, answer any) error {
 	if deadline, ok := ctx.Deadline(); ok {
 		if err := conn.conn.SetDeadline(deadline); err != nil {
@@ -133,7 +138,7 @@
 	select {
 	case <-call.Done:
 	case <-ctx.Done():
-		// Closing the connection ends the call, so that answer isn't written to after the return.
+		// Closing the connection ends the call, so that nothing writes to answer after the return.
 		_ = conn.rpc.Close()
 		<-call.Done
 		return ctx.Err()
@@ -142,12 +147,12 @@
 		_ = conn.rpc.Close()
 		return call.Error
 	}
-	c.keep(conn)
+	c.release(conn)
 	return call.Error
 }
 
-// take returns an idle connection to the address, or nil.
-func (c *Client) take(address string) *idleConn {
+// acquire removes an idle connection to the address and returns it, or nil if there is none.
+func (c *Client) acquire(address string) *idleConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
@@ -157,7 +162,7 @@
 		}
 		element := conns[len(conns)-1]
 		conn := element.Value.(*idleConn)
-		if time.Since(conn.since) >= c.cfg.IdleTime {
+		if time.Since(conn.idleSince) >= c.cfg.IdleTimeout {
 			c.drop(element)
 			continue
 		}
@@ -166,20 +171,21 @@
 	}
 }
 
-// keep makes the connection idle and closes the oldest ones above the limit.
-func (c *Client) keep(conn *idleConn) {
+// release makes the connection idle, and closes connections above the limit or idle for too long.
+func (c *Client) release(conn *idleConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// A deadline that passes while the connection is idle would end net/rpc's reader.
+	// net/rpc reads all the time, so that a deadline which passes while the connection is idle would
+	// break the connection.
 	if c.closed || conn.conn.SetDeadline(time.Time{}) != nil {
 		_ = conn.rpc.Close()
 		return
 	}
-	conn.since = time.Now()
+	conn.idleSince = time.Now()
 	c.byAddress[conn.address] = append(c.byAddress[conn.address], c.idle.PushFront(conn))
 	for c.idle.Len() > 0 {
 		oldest := c.idle.Back()
-		if c.idle.Len() <= c.cfg.MaxIdle && time.Since(oldest.Value.(*idleConn).since) < c.cfg.IdleTime {
+		if c.idle.Len() <= c.cfg.MaxIdle && time.Since(oldest.Value.(*idleConn).idleSince) < c.cfg.IdleTimeout {
 			return
 		}
 		c.drop(oldest)
@@ -192,7 +198,7 @@
 	_ = element.Value.(*idleConn).rpc.Close()
 }
 
-// remove takes a connection out of the idle ones. The caller holds mu.
+// remove deletes a connection from the idle ones. The caller holds mu.
 func (c *Client) remove(element *list.Element) {
 	address := element.Value.(*idleConn).address
 	c.idle.Remove(element)
--- a/io/ctrl/codec.go
+++ b/io/ctrl/codec.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// errTooLarge says that a request is above the size limit.
+// errTooLarge reports a request above the size limit.
 var errTooLarge = errors.New("request is too large")
 
-// codec is net/rpc's server codec for encoding/gob with deadlines and a limit of a request's size,
-// which the standard one doesn't have.
+// codec is a server codec of net/rpc for encoding/gob. Unlike the standard one, it sets deadlines and
+// limits the size of a request.
 type codec struct {
 	conn     net.Conn
 	limit    *limitReader
@@ -39,16 +39,16 @@
 	}
 }
 
-// ReadRequestHeader implements rpc.ServerCodec. It waits for the next request.
+// ReadRequestHeader implements rpc.ServerCodec. It waits for the next request until the idle timeout.
 func (c *codec) ReadRequestHeader(r *rpc.Request) error {
 	if err := c.conn.SetReadDeadline(time.Now().Add(c.idle)); err != nil {
 		return err
 	}
-	c.limit.left = c.maxBytes
+	c.limit.remaining = c.maxBytes
 	return c.dec.Decode(r)
 }
 
-// ReadRequestBody implements rpc.ServerCodec. A nil body is skipped.
+// ReadRequestBody implements rpc.ServerCodec. If body is nil, it skips the request's body.
 func (c *codec) ReadRequestBody(body any) error {
 	if err := c.conn.SetReadDeadline(time.Now().Add(c.timeout)); err != nil {
 		return err
@@ -69,7 +69,7 @@
 		err = c.buf.Flush()
 	}
 	if err != nil {
-		// net/rpc only logs a failed answer. Closing the connection lets the caller know.
+		// net/rpc only logs the error. Closing the connection makes the call fail at the caller.
 		_ = c.Close()
 	}
 	return err
@@ -82,21 +82,21 @@
 	return err
 }
 
-// limitReader fails when a request is longer than its limit.
+// limitReader returns errTooLarge once remaining bytes have been read.
 type limitReader struct {
-	r    io.Reader
-	left int64
+	r         io.Reader
+	remaining int64
 }
 
 // Read implements io.Reader.
 func (l *limitReader) Read(p []byte) (int, error) {
-	if l.left <= 0 {
+	if l.remaining <= 0 {
 		return 0, errTooLarge
 	}
-	if int64(len(p)) > l.left {
-		p = p[:l.left]
+	if int64(len(p)) > l.remaining {
+		p = p[:l.remaining]
 	}
 	n, err := l.r.Read(p)
-	l.left -= int64(n)
+	l.remaining -= int64(n)
 	return n, err
 }
--- a/io/ctrl/ctrl_test.go
+++ b/io/ctrl/ctrl_test.go
@@ -38,7 +38,7 @@
 	return &peers.PingAnswer{Gossip: peers.Gossip{Self: req.Self, Table: req.Table}}, nil
 }
 
-// pipes connects clients to a server without a network and counts the connections.
+// pipes connects clients to a server over net.Pipe and counts the connections.
 type pipes struct {
 	server *Server
 	dials  atomic.Int32
@@ -69,7 +69,7 @@
 	return &peers.PingRequest{To: id, Gossip: peers.Gossip{Self: peers.Update{VM: core.VM{ID: "vm-1"}}, Table: 7}}
 }
 
-// Guards against a connection for each call, and against idle ones that pile up.
+// Guards against opening a connection for each call, and against idle connections that accumulate.
 func TestConnectionsAreReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, c := newPair(t, &fakePeers{}, ServerConfig{}, ClientConfig{MaxIdle: 2})
@@ -98,8 +98,8 @@
 	})
 }
 
-// Guards against a call that outlives its deadline or its context, and against a connection that is
-// used again while an answer is still due on it.
+// Guards against a call that outlives its deadline or its context, and against reusing a connection
+// that still owes an answer.
 func TestCallEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		handler := &fakePeers{block: true}
@@ -116,7 +116,7 @@
 		assert.ErrorIs(t, err, context.Canceled)
 		assert.Equal(t, p.dials.Load(), int32(2))
 		assert.Equal(t, c.idle.Len(), 0)
-		// The server ends the work itself and answers, so that the connection can be used again.
+		// The server's own timeout ends the handler and answers, so that the connection stays usable.
 		start = time.Now()
 		_, err = c.Ping(t.Context(), "a", ping(""))
 		assert.ErrorContains(t, err, context.DeadlineExceeded.Error())
@@ -125,10 +125,10 @@
 	})
 }
 
-// Guards against a member that fills the memory with a request or with connections.
+// Guards against a member that exhausts the server's memory with a large request or many connections.
 func TestServerLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, c := newPair(t, &fakePeers{}, ServerConfig{MaxRequest: 4096, MaxConns: 1}, ClientConfig{})
+		p, c := newPair(t, &fakePeers{}, ServerConfig{MaxRequestBytes: 4096, MaxConns: 1}, ClientConfig{})
 		_, err := c.Ping(t.Context(), "a", ping(core.VMID(strings.Repeat("x", 5000))))
 		assert.Assert(t, err != nil)
 		_, err = c.Ping(t.Context(), "a", ping(""))
@@ -140,7 +140,7 @@
 	})
 }
 
-// Guards against a server that doesn't stop while connections are open, over a real network.
+// Guards against a server that doesn't stop while connections are open. It uses a real network.
 func TestServeStops(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -170,7 +170,7 @@
 	f.Add([]byte{0xf8, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Add(recordedPing(f))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		server := NewServer(ServerConfig{Peers: &fakePeers{}, MaxRequest: 1 << 16, IdleTime: time.Second})
+		server := NewServer(ServerConfig{Peers: &fakePeers{}, MaxRequestBytes: 1 << 16, IdleTimeout: time.Second})
 		a, b := net.Pipe()
 		done := make(chan struct{})
 		go func() {
--- a/io/ctrl/doc.go
+++ b/io/ctrl/doc.go
@@ -1,9 +1,10 @@
-// Package ctrl carries the control calls between entry VMs: net/rpc with encoding/gob over TCP,
-// behind a wrapper that gives each call a deadline, ends it with its context, and limits the size of
-// messages and the number of connections. Statements don't use it, since net/rpc can't stream.
+// Package ctrl makes and serves the control calls between entry VMs. It wraps net/rpc with
+// encoding/gob over TCP, so that each call has a deadline and ends with its context, and so that the
+// size of messages and the number of connections are limited. Statements don't use it, since net/rpc
+// can't stream.
 //
 // A connection carries one call at a time and is kept for the next one. The number of idle
-// connections is bounded, so that an entry VM doesn't hold connections to the whole fleet.
+// connections is limited, so that an entry VM doesn't hold connections to the whole fleet.
 //
 // # Usage
 //
--- a/io/ctrl/together_test.go
+++ b/io/ctrl/integration_test.go
@@ -17,8 +17,8 @@
 	"snipewall/stand/kvsim"
 )
 
-// Guards against parts that work alone but not wired up: three entry VMs over TCP, of which one
-// starts while the platform is down, get the table and its next version.
+// Guards against components that work alone but not together: three entry VMs over TCP, one of which
+// starts while the platform is down, must get the table and its next version.
 func TestTableReachesAll(t *testing.T) {
 	sim := kvsim.New(kvsim.Config{})
 	srv := httptest.NewServer(sim)
@@ -32,48 +32,48 @@
 		ends = append(ends, end)
 		go func() { end <- f(ctx) }()
 	}
-	var keepers []*table.Cache
+	var caches []*table.Cache
 	var seeds []string
 	start := func(id core.VMID) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
-		k := table.NewCache(table.CacheConfig{Store: s})
+		cache := table.NewCache(table.CacheConfig{Store: s})
 		c := NewClient(ClientConfig{})
 		t.Cleanup(func() { assert.Check(t, c.Close()) })
 		p, err := peers.New(peers.Config{
 			Self:  core.VM{ID: id, FailureDomain: "galveston", Control: l.Addr().String()},
-			Seeds: seeds, Transport: c, Platform: s, Table: k,
+			Seeds: seeds, Transport: c, Platform: s, Table: cache,
 		})
 		assert.NilError(t, err)
-		k.SetPeers(p)
+		cache.SetPeers(p)
 		server := NewServer(ServerConfig{Peers: p})
 		run(func(ctx context.Context) error { return server.Serve(ctx, l) })
 		run(p.Run)
-		run(k.Run)
-		keepers, seeds = append(keepers, k), append(seeds, l.Addr().String())
+		run(cache.Run)
+		caches, seeds = append(caches, cache), append(seeds, l.Addr().String())
 	}
-	wait := func(v core.Version) {
-		for start := time.Now(); slices.ContainsFunc(keepers, func(k *table.Cache) bool { return k.Version() != v }); {
+	waitForVersion := func(v core.Version) {
+		for start := time.Now(); slices.ContainsFunc(caches, func(c *table.Cache) bool { return c.Version() != v }); {
 			assert.Assert(t, time.Since(start) < 10*time.Second, "version %d is not in force everywhere", v)
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	edit := func(base core.Version, text string) {
+	applyEdit := func(base core.Version, text string) {
 		tab, err := table.Parse([]byte(text))
 		assert.NilError(t, err)
 		_, err = table.NewEditor(table.EditorConfig{Store: s}).Apply(ctx, table.Edit{ID: table.NewEditID(), Base: base, Table: tab})
 		assert.NilError(t, err)
 	}
-	edit(0, "Kind\nquote\n")
+	applyEdit(0, "Kind\nquote\n")
 	start("vm-1")
 	start("vm-2")
-	wait(1)
+	waitForVersion(1)
 	assert.NilError(t, sim.SetFault(kvsim.FaultDown, "true"))
 	start("vm-3")
-	wait(1)
+	waitForVersion(1)
 	assert.NilError(t, sim.ClearFault(kvsim.FaultDown))
-	edit(1, "Kind,Rank\nquote,urgent\n")
-	wait(2)
+	applyEdit(1, "Kind,Rank\nquote,urgent\n")
+	waitForVersion(2)
 	cancel()
 	for _, end := range ends {
 		assert.NilError(t, <-end)
--- a/io/ctrl/server.go
+++ b/io/ctrl/server.go
@@ -14,25 +14,25 @@
 
 // Defaults of ServerConfig.
 const (
-	defaultMaxConns       = 1024
-	defaultServerIdle     = 2 * time.Minute
-	defaultMaxRequest     = 1 << 20
-	defaultHandlerTimeout = 5 * time.Second
-	// acceptPause keeps a listener that fails, for example without free descriptors, from a busy loop.
-	acceptPause = 50 * time.Millisecond
+	defaultMaxConns          = 1024
+	defaultServerIdleTimeout = 2 * time.Minute
+	defaultMaxRequestBytes   = 1 << 20
+	defaultHandlerTimeout    = 5 * time.Second
+	// acceptRetryDelay prevents a busy loop while Accept fails, for example for lack of descriptors.
+	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// ServerConfig sets up a Server.
+// ServerConfig configures a Server.
 type ServerConfig struct {
-	// Peers serves the calls of the membership; nil means that they are not served.
+	// Peers handles the calls of the membership protocol; nil means that they are not served.
 	Peers peers.Handler
-	// MaxConns limits the connections, 1024 if 0. More are closed at once.
+	// MaxConns limits the connections; 0 means 1024. Connections above the limit are closed at once.
 	MaxConns int
-	// IdleTime closes connections without a request, 2 min if 0.
-	IdleTime time.Duration
-	// MaxRequest limits a request in bytes, 1 MiB if 0.
-	MaxRequest int64
-	// HandlerTimeout limits the work on a request, 5 s if 0.
+	// IdleTimeout is how long a connection without a request is kept; 0 means 2 min.
+	IdleTimeout time.Duration
+	// MaxRequestBytes limits the size of a request; 0 means 1 MiB.
+	MaxRequestBytes int64
+	// HandlerTimeout limits the time to handle a request; 0 means 5 s.
 	HandlerTimeout time.Duration
 }
 
@@ -40,38 +40,38 @@
 type Server struct {
 	cfg ServerConfig
 	rpc *rpc.Server
-	// life is the parent of the contexts of requests.
-	life context.Context
-	end  context.CancelFunc
+	// baseCtx is the parent of all requests' contexts.
+	baseCtx context.Context
+	cancel  context.CancelFunc
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
-// NewServer returns a Server that serves the membership's calls.
+// NewServer returns a Server that serves the calls of cfg.Peers.
 func NewServer(cfg ServerConfig) *Server {
 	if cfg.MaxConns <= 0 {
 		cfg.MaxConns = defaultMaxConns
 	}
-	if cfg.IdleTime <= 0 {
-		cfg.IdleTime = defaultServerIdle
+	if cfg.IdleTimeout <= 0 {
+		cfg.IdleTimeout = defaultServerIdleTimeout
 	}
-	if cfg.MaxRequest <= 0 {
-		cfg.MaxRequest = defaultMaxRequest
+	if cfg.MaxRequestBytes <= 0 {
+		cfg.MaxRequestBytes = defaultMaxRequestBytes
 	}
 	if cfg.HandlerTimeout <= 0 {
 		cfg.HandlerTimeout = defaultHandlerTimeout
 	}
 	s := &Server{cfg: cfg, rpc: rpc.NewServer(), conns: make(map[net.Conn]struct{})}
-	s.life, s.end = context.WithCancel(context.Background())
+	s.baseCtx, s.cancel = context.WithCancel(context.Background())
 	if cfg.Peers != nil {
-		// Registration fails only for a type without methods of net/rpc's form.
+		// Registration fails only for a type without methods that net/rpc can call.
 		_ = s.Register("Peers", &peersService{server: s, handler: cfg.Peers})
 	}
 	return s
 }
 
-// Register adds a service of net/rpc's form. It must be called before Serve.
+// Register adds a service whose methods net/rpc can call. It must be called before Serve.
 func (s *Server) Register(name string, service any) error {
 	if err := s.rpc.RegisterName(name, service); err != nil {
 		return core.ErrPeer.Wrap(err)
@@ -99,7 +99,7 @@
 			return core.ErrPeer.Wrap(err)
 		}
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		conns.Go(func() { s.ServeConn(conn) })
@@ -113,13 +113,13 @@
 		return
 	}
 	defer s.remove(conn)
-	s.rpc.ServeCodec(newCodec(conn, s.cfg.IdleTime, s.cfg.HandlerTimeout, s.cfg.MaxRequest))
+	s.rpc.ServeCodec(newCodec(conn, s.cfg.IdleTimeout, s.cfg.HandlerTimeout, s.cfg.MaxRequestBytes))
 }
 
 func (s *Server) add(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life.Err() != nil || len(s.conns) >= s.cfg.MaxConns {
+	if s.baseCtx.Err() != nil || len(s.conns) >= s.cfg.MaxConns {
 		return false
 	}
 	s.conns[conn] = struct{}{}
@@ -133,7 +133,7 @@
 }
 
 func (s *Server) closeAll() {
-	s.end()
+	s.cancel()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn := range s.conns {
@@ -141,15 +141,15 @@
 	}
 }
 
-// peersService has net/rpc's form of the membership's calls.
+// peersService adapts a peers.Handler to the method signatures of net/rpc.
 type peersService struct {
 	server  *Server
 	handler peers.Handler
 }
 
-// serve runs one handler with the server's time limit.
+// serve runs one handler within the server's HandlerTimeout.
 func serve[Q, A any](s *Server, handle func(context.Context, *Q) (*A, error), req *Q, answer *A) error {
-	ctx, cancel := context.WithTimeout(s.life, s.cfg.HandlerTimeout)
+	ctx, cancel := context.WithTimeout(s.baseCtx, s.cfg.HandlerTimeout)
 	defer cancel()
 	a, err := handle(ctx, req)
 	if err != nil {
--- a/io/ctrl/traffic_test.go
+++ b/io/ctrl/traffic_test.go
@@ -20,17 +20,18 @@
 	"snipewall/core/peers"
 )
 
-// maxFleet limits the fleets of TestTraffic. With 520, it takes several minutes.
+// maxFleet limits the fleet sizes of TestTraffic, which takes several minutes with 520.
 var maxFleet = flag.Int("fleet", 64, "largest fleet to simulate")
 
-// Estimates of what TCP adds on the wire.
+// Estimates of the overhead of TCP/IP on the wire.
 const (
+	// segmentHeader is the size of the headers of one segment in bytes.
 	segmentHeader = 52
-	// connectionSegments are those that open and close a connection.
+	// connectionSegments is the number of segments that open and close a connection.
 	connectionSegments = 7
 )
 
-// meter counts what all members together send and receive.
+// meter counts the traffic of all members together.
 type meter struct {
 	bytes, writes, dials, calls atomic.Int64
 }
@@ -41,7 +42,7 @@
 	}
 }
 
-// meteredConn counts what is written.
+// meteredConn counts the writes and their bytes.
 type meteredConn struct {
 	net.Conn
 	meter *meter
@@ -54,17 +55,17 @@
 	return n, err
 }
 
-// metered is a fleet whose members talk through the real encoding over net.Pipe.
-type metered struct {
+// meteredFleet is a fleet whose members use the real encoding over net.Pipe.
+type meteredFleet struct {
 	meter
 	mu      sync.Mutex
 	servers map[string]*Server
 	conns   sync.WaitGroup
-	// cpu is the CPU time of the process at the start of the window.
+	// cpu is the CPU time of the process at the start of the current window.
 	cpu time.Duration
 }
 
-func (f *metered) dial(_ context.Context, address string) (net.Conn, error) {
+func (f *meteredFleet) dial(_ context.Context, address string) (net.Conn, error) {
 	f.mu.Lock()
 	server := f.servers[address]
 	f.mu.Unlock()
@@ -77,24 +78,24 @@
 	return meteredConn{Conn: a, meter: &f.meter}, nil
 }
 
-// counted counts the calls.
-type counted struct {
+// countingTransport counts the calls.
+type countingTransport struct {
 	peers.Transport
 	meter *meter
 }
 
-func (c counted) Ping(ctx context.Context, address string, req *peers.PingRequest) (*peers.PingAnswer, error) {
+func (c countingTransport) Ping(ctx context.Context, address string, req *peers.PingRequest) (*peers.PingAnswer, error) {
 	c.meter.calls.Add(1)
 	return c.Transport.Ping(ctx, address, req)
 }
 
-func (c counted) Sync(ctx context.Context, address string, req *peers.SyncRequest) (*peers.SyncAnswer, error) {
+func (c countingTransport) Sync(ctx context.Context, address string, req *peers.SyncRequest) (*peers.SyncAnswer, error) {
 	c.meter.calls.Add(1)
 	return c.Transport.Sync(ctx, address, req)
 }
 
-// Guards against control traffic per entry VM that grows with the fleet: the budget for all control
-// tasks is 10 KB/s, and the membership may use half of it while nothing changes.
+// Guards against control traffic per entry VM that grows with the fleet. The budget of an entry VM for
+// all control tasks is 10 KB/s, and the membership protocol may use half of it while nothing changes.
 func TestTraffic(t *testing.T) {
 	for _, size := range []int{8, 64, 520} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -107,7 +108,7 @@
 }
 
 func measureTraffic(t *testing.T, size int) {
-	f := &metered{servers: make(map[string]*Server)}
+	f := &meteredFleet{servers: make(map[string]*Server)}
 	ctx, cancel := context.WithCancel(context.Background())
 	ends := make(chan error, size)
 	var members []*peers.Peers
@@ -118,7 +119,7 @@
 			Region: "gulf-west", Control: fmt.Sprintf("10.20.%d.%d:7001", i/200, i%200), Relay: fmt.Sprintf("10.20.%d.%d:7002", i/200, i%200),
 		}
 		c := NewClient(ClientConfig{Dial: f.dial})
-		p, err := peers.New(peers.Config{Self: vm, Seeds: []string{"10.20.0.0:7001", "10.20.0.1:7001"}, Transport: counted{c, &f.meter}})
+		p, err := peers.New(peers.Config{Self: vm, Seeds: []string{"10.20.0.0:7001", "10.20.0.1:7001"}, Transport: countingTransport{c, &f.meter}})
 		assert.NilError(t, err)
 		f.mu.Lock()
 		f.servers[vm.Control] = NewServer(ServerConfig{Peers: p})
@@ -134,7 +135,7 @@
 	}
 	f.reset()
 	quiet := f.window(t, size, "quiet", time.Minute)
-	// An ordinary day has 273 changes of the fleet; these are 30 leaving marks in half a minute.
+	// 30 leaving marks in half a minute; an ordinary day has 273 changes of the fleet.
 	for i := range 30 {
 		members[i%size].MarkLeaving(core.UpstreamID(fmt.Sprintf("ledger-%d", i)), true)
 		time.Sleep(time.Second)
@@ -154,25 +155,26 @@
 	assert.Assert(t, quiet < 5000, "%f bytes per second", quiet)
 }
 
-// window measures for a time and returns the bytes per second of one member on the wire.
-func (f *metered) window(t *testing.T, size int, name string, d time.Duration) float64 {
+// window returns the bytes per second of one member on the wire. It measures for d, except in the
+// window "busy", where the caller has already spent the time.
+func (f *meteredFleet) window(t *testing.T, size int, name string, d time.Duration) float64 {
 	if name != "busy" {
 		f.cpu = cpuTime(t)
 		time.Sleep(d)
 	}
-	per := float64(size) * d.Seconds()
+	memberSeconds := float64(size) * d.Seconds()
 	cpu := cpuTime(t)
 	// Each byte is sent by one member and received by another one.
-	payload := 2 * float64(f.bytes.Load()) / per
+	payload := 2 * float64(f.bytes.Load()) / memberSeconds
 	// Each segment is acknowledged.
 	segments := 2*2*float64(f.writes.Load()) + 2*connectionSegments*float64(f.dials.Load())
-	wire := payload + segments*segmentHeader/per
+	wire := payload + segments*segmentHeader/memberSeconds
 	t.Logf("%d members, %s: payload %.0f B/s, on the wire about %.0f B/s, %.1f calls/s made and as many served, %.2f connections/s opened",
-		size, name, payload, wire, float64(f.calls.Load())/per, float64(f.dials.Load())/per)
+		size, name, payload, wire, float64(f.calls.Load())/memberSeconds, float64(f.dials.Load())/memberSeconds)
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	t.Logf("%d members, %s: %.2f ms/s of CPU without the kernel's part, %.1f MB of heap and stacks each",
-		size, name, 1000*(cpu-f.cpu).Seconds()/per, float64(mem.HeapInuse+mem.StackInuse)/1e6/float64(size))
+		size, name, 1000*(cpu-f.cpu).Seconds()/memberSeconds, float64(mem.HeapInuse+mem.StackInuse)/1e6/float64(size))
 	f.cpu = cpu
 	f.reset()
 	return wire
