--- a/io/front/accept.go
+++ b/io/front/accept.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// acceptRetry is the pause after a failure to accept that passes on its own, such as a lack of file
-// descriptors.
-const acceptRetry = 50 * time.Millisecond
+// acceptRetryDelay is the pause after a temporary failure of Accept, such as a lack of file descriptors.
+const acceptRetryDelay = 50 * time.Millisecond
 
-// retryAccept reports whether the error of Accept is temporary, after a pause.
-func retryAccept(ctx context.Context, err error) bool {
+// shouldRetryAccept reports whether the error of Accept is temporary. If so, it first waits for
+// acceptRetryDelay or the end of ctx.
+func shouldRetryAccept(ctx context.Context, err error) bool {
 	switch {
 	case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE),
 		errors.Is(err, syscall.ENOBUFS), errors.Is(err, syscall.ENOMEM),
@@ -21,7 +21,7 @@
 		return false
 	}
 	select {
-	case <-time.After(acceptRetry):
+	case <-time.After(acceptRetryDelay):
 	case <-ctx.Done():
 	}
 	return true
--- a/io/front/answer.go
+++ b/io/front/answer.go
@@ -14,13 +14,13 @@
 const (
 	// writeBufferSize is the initial size of the pooled write buffers.
 	writeBufferSize = 4 << 10
-	// flushSize is the amount of data after which a long answer is written while it runs.
+	// flushSize is the number of buffered bytes above which an answer is written before it is complete.
 	flushSize = 32 << 10
-	// maxPooledWrite is the largest write buffer that goes back to the pool.
-	maxPooledWrite = 128 << 10
-	// stallTime is the extra time after a request's deadline in which a caller must accept a part
-	// of its answer. The request holds an upstream connection meanwhile.
-	stallTime = time.Second
+	// maxPooledBufferSize is the largest capacity of a write buffer that goes back to the pool.
+	maxPooledBufferSize = 128 << 10
+	// stallTimeout is the time after a request's deadline in which a caller must still read its answer.
+	// It is limited because the request holds an upstream connection meanwhile.
+	stallTimeout = time.Second
 )
 
 var writeBuffers = sync.Pool{New: func() any {
@@ -28,23 +28,24 @@
 	return &b
 }}
 
-// answer collects the messages to the caller and implements core.ResponseWriter. Messages of local
-// operations are put between those of the upstream, in the order of the caller's messages.
+// answer buffers the messages to the caller and implements core.ResponseWriter. It inserts the answers
+// to local operations between those of the upstream, in the order of the caller's messages.
 type answer struct {
 	s   *session
 	buf *[]byte
 	ops []op
-	// at is the operation whose answer is awaited.
-	at int
-	// failed tells that the answer contains an error. Nothing follows it then.
+	// current is the index in ops of the operation whose answer comes next.
+	current int
+	// failed is set once the answer contains an error, after which no further messages are added.
 	failed bool
-	// refused tells that the server is stopping and the connection ends.
+	// refused is set if the request was refused because the server is stopping. The connection is closed
+	// after the answer.
 	refused bool
 	// upstreamFatal is an error by which the upstream ended its connection. It is reported only if
 	// the executor reports no error of its own.
-	upstreamFatal *pgproto3.ErrorResponse
-	deadline      time.Time
-	timed         bool
+	upstreamFatal    *pgproto3.ErrorResponse
+	deadline         time.Time
+	hasWriteDeadline bool
 }
 
 func newAnswer(s *session, ops []op) *answer {
@@ -61,7 +62,8 @@
 	*a.buf = buf
 }
 
-// Send takes a message of the upstream's answer.
+// Send implements core.ResponseWriter. It drops messages that callers must not see, and everything after
+// an error.
 func (a *answer) Send(msg pgproto3.BackendMessage) error {
 	switch m := msg.(type) {
 	case *pgproto3.ParameterStatus:
@@ -83,7 +85,7 @@
 		}
 		a.emitLocals()
 		a.failed = true
-		a.put(a.shifted(m))
+		a.put(a.withCallerPosition(m))
 		return nil
 	default:
 		if a.failed {
@@ -98,39 +100,40 @@
 	return a.flushIfLong()
 }
 
-// shifted returns the error with its position in the caller's text.
-func (a *answer) shifted(m *pgproto3.ErrorResponse) *pgproto3.ErrorResponse {
-	if m.Position <= 0 || a.at >= len(a.ops) || a.ops[a.at].st == nil || a.ops[a.at].st.shift == 0 {
+// withCallerPosition returns the error with its position converted from the upstream's text of the
+// statement to the caller's.
+func (a *answer) withCallerPosition(m *pgproto3.ErrorResponse) *pgproto3.ErrorResponse {
+	if m.Position <= 0 || a.current >= len(a.ops) || a.ops[a.current].st == nil || a.ops[a.current].st.positionOffset == 0 {
 		return m
 	}
 	c := *m
-	c.Position += a.ops[a.at].st.shift
+	c.Position += a.ops[a.current].st.positionOffset
 	return &c
 }
 
 // advance moves to the next operation if the message ends the answer to the current one.
 func (a *answer) advance(msg pgproto3.BackendMessage) {
-	if a.at >= len(a.ops) {
+	if a.current >= len(a.ops) {
 		return
 	}
 	switch msg.(type) {
 	case *pgproto3.ParseComplete, *pgproto3.BindComplete, *pgproto3.CloseComplete,
 		*pgproto3.RowDescription, *pgproto3.NoData, *pgproto3.CommandComplete,
 		*pgproto3.EmptyQueryResponse, *pgproto3.PortalSuspended:
-		a.ops[a.at].done(a.s)
-		a.at++
+		a.ops[a.current].updateStatements(a.s)
+		a.current++
 	}
 }
 
-// emitLocals answers the local operations that stand before the next remote one.
+// emitLocals answers the local operations before the next one for the upstream.
 func (a *answer) emitLocals() {
-	for a.at < len(a.ops) && a.ops[a.at].local {
-		o := &a.ops[a.at]
-		a.at++
+	for a.current < len(a.ops) && a.ops[a.current].local {
+		o := &a.ops[a.current]
+		a.current++
 		if !a.emit(o) {
 			return
 		}
-		o.done(a.s)
+		o.updateStatements(a.s)
 	}
 }
 
@@ -146,7 +149,7 @@
 	}
 }
 
-// fail puts an error of the listener, unless the answer contains an error already.
+// fail adds an error of the listener, unless the answer contains an error already.
 func (a *answer) fail(err error) {
 	if a.failed {
 		return
@@ -157,7 +160,7 @@
 	a.failed = true
 }
 
-// fatal puts an error after which the connection ends.
+// fatal adds an error after which the connection is closed.
 func (a *answer) fatal(err *callerError) {
 	resp := err.response()
 	resp.Severity, resp.SeverityUnlocalized = "FATAL", "FATAL"
@@ -190,18 +193,18 @@
 	return a.write()
 }
 
-// limitWrites bounds the time that the caller may take to accept the answer.
+// limitWrites sets the deadline by which the caller must have read the answer.
 func (a *answer) limitWrites() {
-	if a.deadline.IsZero() || a.timed {
+	if a.deadline.IsZero() || a.hasWriteDeadline {
 		return
 	}
-	a.timed = true
-	if err := a.s.conn.SetWriteDeadline(a.deadline.Add(stallTime)); err != nil {
+	a.hasWriteDeadline = true
+	if err := a.s.conn.SetWriteDeadline(a.deadline.Add(stallTimeout)); err != nil {
 		a.s.broken = err
 	}
 }
 
-// write sends the buffer. Any error breaks the session.
+// write sends the buffer. After an error, the session can't be used.
 func (a *answer) write() error {
 	if a.s.broken != nil || len(*a.buf) == 0 {
 		return a.s.broken
@@ -214,22 +217,22 @@
 	return nil
 }
 
-// flush sends the rest and gives the buffer back. The answer must not be used afterwards.
+// flush sends the rest and returns the buffer to the pool. The answer must not be used afterwards.
 func (a *answer) flush() error {
 	if a.s.tx != nil {
 		a.limitWrites()
 	}
 	err := a.write()
-	if a.timed && err == nil {
+	if a.hasWriteDeadline && err == nil {
 		err = a.s.conn.SetWriteDeadline(time.Time{})
 	}
 	a.discard()
 	return err
 }
 
-// discard gives the buffer back without sending it.
+// discard returns the buffer to the pool without sending it.
 func (a *answer) discard() {
-	if cap(*a.buf) <= maxPooledWrite {
+	if cap(*a.buf) <= maxPooledBufferSize {
 		*a.buf = (*a.buf)[:0]
 		writeBuffers.Put(a.buf)
 	}
--- a/io/front/batch.go
+++ b/io/front/batch.go
@@ -8,24 +8,25 @@
 	"snipewall/core"
 )
 
-// messageOverhead is added to the size of each message of a batch, so that the limit also bounds
-// the memory of many small messages.
+// messageOverhead is the number of bytes added to the size of each message of a batch, so that the
+// limit also bounds the memory that many small messages take.
 const messageOverhead = 256
 
 // op is one message of a batch.
 type op struct {
-	// typ is the type of the message. Describe and Close of portals are 'd' and 'c'.
+	// typ is the type byte of the message, except for Describe and Close of portals, which have 'd' and
+	// 'c'.
 	typ byte
-	// local tells that the listener answers the message itself.
+	// local is set if the listener answers the message itself.
 	local bool
 	st    *statement
-	// name is the caller's name of the statement that Parse or Close concerns.
+	// name is the caller's name for the statement of Parse or Close.
 	name string
-	// formats are the result formats of the portal.
+	// formats holds the result formats of the portal.
 	formats []int16
 }
 
-// portal is a portal that the batch has bound.
+// portal is a portal that a Bind in the same batch creates.
 type portal struct {
 	st      *statement
 	local   bool
@@ -35,23 +36,24 @@
 // batch collects the messages of the extended protocol up to Flush or Sync.
 type batch struct {
 	s *session
-	// failed tells that the caller's transaction block is in the failed state.
+	// failed is set if the caller's transaction block is in the failed state.
 	failed bool
 	ops    []op
 	size   int
-	// defined holds the statements that the batch parsed, by the caller's name; nil if closed.
+	// defined holds the statements that the batch prepares, by the caller's name. The value is nil for
+	// a name that the batch closes.
 	defined map[string]*statement
-	// sentUnnamed is the statement that the unnamed one is on the upstream within this batch.
+	// sentUnnamed is the statement that the batch prepares as the unnamed one on the upstream, or nil.
 	sentUnnamed *statement
 	portals     map[string]portal
 	unit        unit
 	// remote counts the messages for the upstream, executes counts Bind and Execute among them.
 	remote, executes int
-	// err is the first error that the listener found. Nothing of the batch runs then.
+	// err is the first error that the listener found. If it is set, no part of the batch runs.
 	err error
 }
 
-// openBatch returns the batch that collects messages.
+// openBatch returns the session's batch, which it creates if there is none.
 func (s *session) openBatch() *batch {
 	if s.batch == nil {
 		s.batch = &batch{s: s, failed: s.failed}
@@ -59,14 +61,14 @@
 	return s.batch
 }
 
-// fail records the first error and drops the messages.
+// fail keeps the error if it is the first one, and drops the messages.
 func (b *batch) fail(err error) {
 	if b.err == nil {
 		*b = batch{s: b.s, err: err}
 	}
 }
 
-// add takes a message.
+// add appends a message to the batch.
 func (b *batch) add(msg pgproto3.FrontendMessage, size int) {
 	if b.err != nil {
 		return
@@ -106,7 +108,7 @@
 	b.unit.messages = append(b.unit.messages, msg)
 }
 
-// lookup returns the statement of the caller's name.
+// lookup returns the statement that has the caller's name.
 func (b *batch) lookup(name string) (*statement, error) {
 	st, ok := b.defined[name]
 	switch {
@@ -126,14 +128,14 @@
 	return st, nil
 }
 
-// isLocal reports whether the listener answers for the statement. COMMIT and ROLLBACK without a
-// transaction are local too.
+// isLocal reports whether the listener executes the statement itself. This includes COMMIT and ROLLBACK
+// without a transaction.
 func (b *batch) isLocal(st *statement) bool {
-	return st.isLocal() || b.s.endsNothing(st.info) && !b.unit.info.Begins
+	return st.isLocal() || b.s.isEndWithoutTx(st.info) && !b.unit.info.Begins
 }
 
-// upstreamName returns the statement's name on the upstream, and sees to it that a connection which
-// lacks the statement can prepare it.
+// upstreamName returns the statement's name on the upstream. It also adds the statement to the request,
+// so that a connection which lacks the statement can prepare it.
 func (b *batch) upstreamName(name string, st *statement) string {
 	if name == "" && b.sentUnnamed == st {
 		return ""
@@ -175,7 +177,7 @@
 		return errInFailedTx
 	}
 	b.define(m.Name, st)
-	b.prepares(st)
+	b.notePrepared(st)
 	o := op{typ: 'P', local: b.isLocal(st), st: st, name: m.Name}
 	if m.Name != "" {
 		if !o.local {
@@ -230,13 +232,13 @@
 	if !o.local {
 		m.Name = b.upstreamName(m.Name, st)
 	}
-	b.prepares(st)
+	b.notePrepared(st)
 	b.push(o, m)
 	return nil
 }
 
-// prepares takes note of a statement that the batch prepares or describes.
-func (b *batch) prepares(st *statement) {
+// notePrepared applies the class and the tags of a statement that the batch prepares or describes.
+func (b *batch) notePrepared(st *statement) {
 	if b.isLocal(st) {
 		return
 	}
@@ -247,12 +249,13 @@
 func (b *batch) execute(m *pgproto3.Execute) error {
 	p, bound := b.portals[m.Portal]
 	if !bound {
-		// The portal may be open in the transaction; otherwise the upstream reports it as unknown.
+		// An earlier batch of the transaction may have bound the portal. If not, the upstream reports it
+		// as unknown.
 		if b.failed {
 			return errInFailedTx
 		}
 		b.executes++
-		b.unit.earlierPortal = true
+		b.unit.usesEarlierPortal = true
 		b.push(op{typ: 'E'}, m)
 		return nil
 	}
@@ -284,12 +287,12 @@
 	return nil
 }
 
-// close handles Close. The statement stays prepared on upstreams, since other callers share it.
+// close handles Close. A statement stays prepared on upstreams, since other callers share it.
 func (b *batch) close(m *pgproto3.Close) {
 	if m.ObjectType == 'P' {
 		p := b.portals[m.Name]
 		delete(b.portals, m.Name)
-		// Outside of a transaction, a portal that the batch hasn't bound doesn't exist.
+		// Outside of a transaction, only portals that the batch has bound exist.
 		local := p.local || p.st == nil && b.s.tx == nil
 		b.push(op{typ: 'c', local: local}, m)
 		return
@@ -298,8 +301,9 @@
 	b.push(op{typ: 'C', local: true, name: m.Name}, nil)
 }
 
-// done takes over the effect of an operation on the session's prepared statements.
-func (o *op) done(s *session) {
+// updateStatements applies the effect of an operation that succeeded to the session's prepared
+// statements.
+func (o *op) updateStatements(s *session) {
 	switch o.typ {
 	case 'P':
 		if o.name == "" {
@@ -310,7 +314,7 @@
 		if s.stmts == nil {
 			s.stmts = make(map[string]*statement, 1)
 		}
-		s.stmts[o.name] = s.srv.stmts.hold(o.st)
+		s.stmts[o.name] = s.srv.stmts.acquire(o.st)
 	case 'C':
 		s.forget(o.name)
 	}
--- a/io/front/connection_test.go
+++ b/io/front/connection_test.go
@@ -26,8 +26,8 @@
 
 type hook = func(ctx context.Context, req *core.Request, w core.ResponseWriter) (core.Result, bool, error)
 
-// blocking is a hook that reports each request and blocks it until its context ends or release is
-// closed.
+// blocking returns a hook that sends each request to started and blocks it until its context ends or
+// release is closed.
 func blocking(started chan<- *core.Request, release <-chan struct{}) hook {
 	return func(ctx context.Context, req *core.Request, _ core.ResponseWriter) (core.Result, bool, error) {
 		req.Attempt.MarkSent()
@@ -49,8 +49,8 @@
 	return pgErr.Code
 }
 
-// A cancel request must end the running request of its own connection only, and must not claim
-// that a write had no effect.
+// Guards against a cancel request that ends the request of another connection, and against a canceled
+// write or commit that is reported as having had no effect.
 func TestCancel(t *testing.T) {
 	for name, tc := range map[string]struct{ before, sql, state string }{
 		"read":                 {"", "select 1", "57014"},
@@ -85,7 +85,7 @@
 	}
 }
 
-// A cancel request with a wrong secret must have no effect.
+// Guards against cancel requests with a wrong secret that take effect.
 func TestCancelNeedsSecret(t *testing.T) {
 	srv := startServer(t)
 	conn := srv.connect(t, "")
@@ -108,8 +108,9 @@
 	assert.NilError(t, <-end)
 }
 
-// A transaction whose caller went away would hold an upstream connection and its locks.
-func TestCallerDies(t *testing.T) {
+// Guards against a transaction or request that goes on holding an upstream connection and its locks
+// after the caller has disconnected.
+func TestCallerDisconnects(t *testing.T) {
 	srv := startServer(t)
 	t.Run("idle in a transaction", func(t *testing.T) {
 		conn := srv.connect(t, "")
@@ -126,7 +127,7 @@
 		})
 	})
 	t.Run("while a request runs", func(t *testing.T) {
-		// A driver would send a cancel request, which a caller that dies can't.
+		// A driver would send a cancel request before it disconnects; a caller that crashes doesn't.
 		d := newDialogue(t, srv, nil)
 		d.ready(1)
 		started := make(chan *core.Request, 1)
@@ -149,7 +150,7 @@
 	})
 }
 
-// Input that arrives while a request runs must not be lost or end the request.
+// Guards against input that arrives while a request runs and is lost or cancels the request.
 func TestInputWhileRunning(t *testing.T) {
 	srv := startServer(t)
 	started, release := make(chan *core.Request, 3), make(chan struct{})
@@ -167,8 +168,8 @@
 	assert.Equal(t, strings.Count(d.out.String(), `"SELECT 1"`), 3, d.out.String())
 }
 
-// An answer that was partly sent and then failed must end with an error, since the caller would
-// take the rows for the whole answer.
+// Guards against an upstream that fails after a part of the answer was sent: without an error at the
+// end, the caller would take the rows for the whole answer.
 func TestPartialAnswer(t *testing.T) {
 	srv := startServer(t)
 	conn := srv.connect(t, "")
@@ -183,7 +184,7 @@
 				return core.Result{}, true, err
 			}
 		}
-		// The upstream ends its connection with an error of its own.
+		// The upstream closes its connection with a FATAL error.
 		err := w.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: "57P01", Message: "shutdown"})
 		return core.Result{}, true, errors.Join(errors.New("reset"), err)
 	})
@@ -200,8 +201,7 @@
 	assert.NilError(t, err)
 }
 
-// A planned stop must interrupt nothing: requests and transactions in flight finish, and what is
-// refused has not run.
+// Guards against a planned stop that interrupts requests or transactions in progress.
 func TestDrain(t *testing.T) {
 	srv := startServer(t)
 	idle, busy, inTx := srv.connect(t, ""), srv.connect(t, ""), srv.connect(t, "")
@@ -217,10 +217,10 @@
 	go func() { drained <- srv.Drain(context.Background()) }()
 
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if srv.open() == 2 {
+		if srv.sessionCount() == 2 {
 			return poll.Success()
 		}
-		return poll.Continue("%d connections", srv.open())
+		return poll.Continue("%d connections", srv.sessionCount())
 	})
 	_, err = idle.Exec(t.Context(), "select 1")
 	assert.Assert(t, err != nil)
@@ -233,12 +233,12 @@
 	close(release)
 	assert.NilError(t, <-busyEnd)
 	assert.NilError(t, <-drained)
-	assert.Equal(t, srv.open(), 0)
+	assert.Equal(t, srv.sessionCount(), 0)
 }
 
-// The connection that is closed by Drain must learn that nothing ran, and a Drain that takes too
-// long must say so.
-func TestDrainTellsIdle(t *testing.T) {
+// Guards against idle connections that Drain closes without the error "not run", and against a Drain
+// that returns no error although transactions are still open at its deadline.
+func TestDrainNotifiesIdle(t *testing.T) {
 	srv := startServer(t)
 	d, tx := newDialogue(t, srv, nil), srv.connect(t, "")
 	d.ready(1)
@@ -297,7 +297,7 @@
 	assert.NilError(t, conn.Close(t.Context()))
 }
 
-// A connection that has been idle for long must go on as before, and must still notice Drain.
+// Guards against connections that don't work, or don't notice Drain, after they were parked.
 func TestParked(t *testing.T) {
 	srv := startServer(t, func(c *Config) { c.ParkDelay = 5 * time.Millisecond })
 	conn := srv.connect(t, "")
@@ -312,7 +312,7 @@
 	assert.Assert(t, err != nil)
 }
 
-// TLS inside TLS must not be negotiated.
+// Guards against negotiating TLS inside TLS.
 func TestSecondSSLRequest(t *testing.T) {
 	srv := startServer(t, func(c *Config) {
 		c.TLS = &tls.Config{Certificates: []tls.Certificate{certificate(t)}, MinVersion: tls.VersionTLS12}
--- a/io/front/dialogue_test.go
+++ b/io/front/dialogue_test.go
@@ -16,8 +16,8 @@
 	"snipewall/core"
 )
 
-// dialogue is a caller that speaks the protocol message by message, and writes down the dialogue:
-// F for the caller's messages, B for the answers, U for the requests that reach the router.
+// dialogue is a caller that sends and receives single messages of the protocol. It records the
+// dialogue: F for the caller's messages, B for the answers, U for the requests that reach the router.
 type dialogue struct {
 	t    *testing.T
 	srv  *testServer
@@ -43,7 +43,7 @@
 	return d
 }
 
-// send writes the messages in one piece.
+// send writes the messages in a single write.
 func (d *dialogue) send(msgs ...pgproto3.FrontendMessage) {
 	d.t.Helper()
 	for _, m := range msgs {
@@ -139,7 +139,7 @@
 
 func execute(portal string) *pgproto3.Execute { return &pgproto3.Execute{Portal: portal} }
 
-func closing(typ byte, name string) *pgproto3.Close {
+func closeMessage(typ byte, name string) *pgproto3.Close {
 	return &pgproto3.Close{ObjectType: typ, Name: name}
 }
 
@@ -166,8 +166,8 @@
 	flushMsg = &pgproto3.Flush{}
 )
 
-// The golden files show whole sessions as dialogues of messages. A change of the protocol that a
-// caller can see changes them.
+// Guards against unintended changes of the protocol that callers can see. The golden files contain the
+// messages of whole sessions.
 func TestDialogues(t *testing.T) {
 	for name, script := range map[string]func(d *dialogue){
 		"simple":       simpleDialogue,
@@ -204,15 +204,15 @@
 	d.exchange("an unnamed statement over two batches: execute",
 		bind("", "", "x"), describe('P', ""), execute(""), syncMsg)
 	d.exchange("a write is only prepared", parse("ins", "insert into t values ($1)"), describe('S', "ins"), syncMsg)
-	d.exchange("a named statement, twice in one batch", bind("p1", "ins", "x"), execute("p1"), closing('P', "p1"),
+	d.exchange("a named statement, twice in one batch", bind("p1", "ins", "x"), execute("p1"), closeMessage('P', "p1"),
 		bind("p1", "ins", "y"), execute("p1"), syncMsg)
 	d.exchange("a duplicate name", parse("ins", "select 1"), syncMsg)
-	d.exchange("close needs no upstream", closing('S', "ins"), syncMsg)
+	d.exchange("close needs no upstream", closeMessage('S', "ins"), syncMsg)
 	d.exchange("a closed name is unknown", bind("", "ins"), execute(""), syncMsg)
 	d.exchange("a statement that fails to parse isn't kept", parse("bad", "select syntax error"),
-		closing('S', "bad"), syncMsg)
+		closeMessage('S', "bad"), syncMsg)
 	d.exchange("and its name is free", parse("bad", "select 2"), syncMsg)
-	d.exchange("close and parse of one name in one batch", closing('S', "bad"), parse("bad", "select 3"),
+	d.exchange("close and parse of one name in one batch", closeMessage('S', "bad"), parse("bad", "select 3"),
 		bind("", "bad"), execute(""), syncMsg)
 	d.exchange("an unknown portal", execute("nowhere"), syncMsg)
 	d.exchange("only Sync", syncMsg)
@@ -276,7 +276,7 @@
 		bind("", "s"), describe('P', ""), execute(""), syncMsg)
 	d.exchange("local and other statements in one batch", join(run("set snipewall.position = '3/5'"),
 		run("select v from t"), run("show snipewall.position"), parse("x", "insert into t values (1)"),
-		closing('S', "x"), syncMsg)...)
+		closeMessage('S', "x"), syncMsg)...)
 	d.exchange("an error keeps what follows from having an effect", join(run("set snipewall.kind = 'nothing'"),
 		run("insert into t values (1)"), syncMsg)...)
 	d.exchange("parameters of the upstreams", query("set datestyle = iso; set extra_float_digits = 3"))
--- a/io/front/errors.go
+++ b/io/front/errors.go
@@ -12,22 +12,22 @@
 	"snipewall/core/stmt"
 )
 
-// SQLSTATEs of the standard and of PostgreSQL that only the listener reports.
+// SQLSTATEs that only the listener reports.
 const (
-	stateCompletionUnknown   = "40003"
-	stateFailedTx            = "25P02"
-	stateNoActiveTx          = "25P01"
-	stateIdleInTx            = "25P03"
-	stateQueryCanceled       = "57014"
-	stateLimitExceeded       = "54000"
-	stateDuplicateStatement  = "42P05"
-	stateUndefinedStatement  = "26000"
-	stateUndefinedParameter  = "42704"
-	stateInvalidAuthorizaton = "28000"
-	stateInternal            = "XX000"
+	stateCompletionUnknown    = "40003"
+	stateFailedTx             = "25P02"
+	stateNoActiveTx           = "25P01"
+	stateIdleInTx             = "25P03"
+	stateQueryCanceled        = "57014"
+	stateLimitExceeded        = "54000"
+	stateDuplicateStatement   = "42P05"
+	stateUndefinedStatement   = "26000"
+	stateUndefinedParameter   = "42704"
+	stateInvalidAuthorization = "28000"
+	stateInternal             = "XX000"
 )
 
-// callerError is an error that the listener reports to the caller.
+// callerError is an error as the caller sees it.
 type callerError struct {
 	State   string
 	Message string
@@ -48,7 +48,7 @@
 	errIdleInTx = &callerError{State: stateIdleInTx,
 		Message: "terminating connection due to idle-in-transaction timeout",
 		Hint:    "The transaction is rolled back. It is safe to repeat it from BEGIN."}
-	errTLSRequired = &callerError{State: stateInvalidAuthorizaton,
+	errTLSRequired = &callerError{State: stateInvalidAuthorization,
 		Message: "this entry VM accepts connections with TLS only",
 		Hint:    "Connect with sslmode=require or stricter."}
 	errInFailedTx = &callerError{State: stateFailedTx,
@@ -74,7 +74,7 @@
 		Hint:    "Use it in the transaction that called nextval, or use RETURNING."}
 }
 
-// asCallerError converts any error that the listener finds itself.
+// asCallerError converts an error that the listener found itself.
 func asCallerError(err error) *callerError {
 	var ce *callerError
 	if errors.As(err, &ce) {
@@ -87,18 +87,18 @@
 	return &callerError{State: stateInternal, Message: err.Error()}
 }
 
-// attempt describes the request whose executor returned an error.
-type attempt struct {
-	req           *core.Request
-	info          *stmt.Info
-	inTx          bool
-	earlierPortal bool
-	canceled      bool
-	expired       bool
+// failedRequest describes a request whose executor returned an error.
+type failedRequest struct {
+	req               *core.Request
+	info              *stmt.Info
+	inTx              bool
+	usesEarlierPortal bool
+	canceled          bool
+	expired           bool
 }
 
-// failureOf maps an executor's error to what the caller is told.
-func failureOf(err error, at *attempt) *callerError {
+// mapExecutorError converts an executor's error to the error that the caller sees.
+func mapExecutorError(err error, f *failedRequest) *callerError {
 	var dup *core.DuplicateError
 	if errors.As(err, &dup) {
 		return &callerError{State: core.StateDuplicate, Message: dup.Error(),
@@ -109,32 +109,32 @@
 	if !errors.As(err, &notRun) && !errors.As(err, &unknown) {
 		var redirect *core.RedirectError
 		if errors.As(err, &redirect) {
-			at.req.Attempt.ConfirmNotRun()
+			f.req.Attempt.ConfirmNotRun()
 		}
 		reason, state := err.Error(), core.StateUnavailable
-		if at.expired || errors.Is(err, context.DeadlineExceeded) {
+		if f.expired || errors.Is(err, context.DeadlineExceeded) {
 			reason, state = "the deadline of the request passed", core.StateOverload
 		}
-		refusal := at.req.Attempt.Refuse(state, reason, 0)
+		refusal := f.req.Attempt.Refuse(state, reason, 0)
 		errors.As(refusal, &notRun)
 		errors.As(refusal, &unknown)
 	}
 	switch {
-	case notRun != nil && at.canceled:
-		return canceledFailure(at)
+	case notRun != nil && f.canceled:
+		return canceledFailure(f)
 	case notRun != nil:
-		return notRunFailure(notRun, at)
-	case at.mayHaveCommitted():
+		return notRunFailure(notRun, f)
+	case f.mayHaveCommitted():
 		return &callerError{State: core.StateUnknownOutcome, Message: unknown.Error(),
 			Hint: "The request may have taken effect. To repeat it safely, send it with" +
 				" snipewall.request_id, and send the same id again."}
-	case at.canceled:
-		return canceledFailure(at)
-	case at.inTx || at.info.Begins:
+	case f.canceled:
+		return canceledFailure(f)
+	case f.inTx || f.info.Begins:
 		return &callerError{State: stateCompletionUnknown,
 			Message: "the transaction was lost and is rolled back: " + unknown.Reason,
 			Hint:    "It is safe to repeat the transaction from BEGIN."}
-	case at.expired || errors.Is(err, context.DeadlineExceeded):
+	case f.expired || errors.Is(err, context.DeadlineExceeded):
 		return &callerError{State: stateQueryCanceled, Message: "canceling statement: " + unknown.Reason,
 			Hint: "The request changes nothing; it is safe to repeat."}
 	}
@@ -142,26 +142,26 @@
 		Hint: "The request changes nothing; it is safe to repeat."}
 }
 
-// mayHaveCommitted reports whether the request could have made a change durable. Inside a
-// transaction only its end does, since losing the connection rolls it back.
-func (at *attempt) mayHaveCommitted() bool {
-	if at.inTx || at.info.Begins {
-		return at.info.Commits || at.earlierPortal
+// mayHaveCommitted reports whether the request may have committed a change. Inside a transaction only
+// its end does, since the loss of the connection rolls the transaction back.
+func (f *failedRequest) mayHaveCommitted() bool {
+	if f.inTx || f.info.Begins {
+		return f.info.Commits || f.usesEarlierPortal
 	}
-	return at.info.Writes
+	return f.info.Writes
 }
 
-func canceledFailure(at *attempt) *callerError {
+func canceledFailure(f *failedRequest) *callerError {
 	e := &callerError{State: stateQueryCanceled, Message: "canceling statement due to user request"}
-	if at.inTx {
+	if f.inTx {
 		e.Hint = "The transaction is rolled back."
 	}
 	return e
 }
 
-func notRunFailure(e *core.NotRunError, at *attempt) *callerError {
+func notRunFailure(e *core.NotRunError, f *failedRequest) *callerError {
 	what := "It is safe to repeat the request"
-	if at.inTx {
+	if f.inTx {
 		what = "The transaction is rolled back. It is safe to repeat it from BEGIN"
 	}
 	hint := what + "."
--- a/io/front/errors_test.go
+++ b/io/front/errors_test.go
@@ -13,7 +13,7 @@
 	"snipewall/core"
 )
 
-// A refusal that says "not run" must be true, and an unknown outcome must not look like one.
+// Guards against errors that tell the caller "not run" although the request may have run.
 func TestErrorMapping(t *testing.T) {
 	sent := func(err error) func(*core.Request) error {
 		return func(req *core.Request) error { req.Attempt.MarkSent(); return err }
@@ -68,7 +68,8 @@
 	}
 }
 
-// Inside a transaction, losing the upstream rolls everything back unless COMMIT was in flight.
+// Guards against wrong errors when the upstream is lost inside a transaction: everything is rolled back,
+// unless COMMIT was in progress, whose outcome is unknown.
 func TestLostTransaction(t *testing.T) {
 	for name, tc := range map[string]struct {
 		sql, state string
@@ -95,7 +96,8 @@
 			assert.Equal(t, pgErr.Code, tc.state)
 			assert.Equal(t, conn.PgConn().TxStatus(), tc.status)
 			if tc.status == 'E' {
-				// A statement that was sent before the error was seen must not commit on its own.
+				// The caller may have sent this statement before it saw the error. It must not run outside
+				// of the transaction.
 				_, err = conn.Exec(t.Context(), "insert into t values (2)")
 				assert.ErrorContains(t, err, "25P02")
 				_, err = conn.Exec(t.Context(), "rollback")
@@ -108,8 +110,7 @@
 	}
 }
 
-// A portal of an earlier batch may hold a COMMIT, so that losing it must not be reported as rolled
-// back.
+// Guards against a lost COMMIT that is reported as rolled back because it was bound in an earlier batch.
 func TestLostPortal(t *testing.T) {
 	d := newDialogue(t, startServer(t), nil)
 	d.ready(1)
@@ -123,8 +124,8 @@
 	assert.Assert(t, strings.Contains(d.out.String(), "ERROR 08007"), d.out.String())
 }
 
-// Preparing a write goes to the primary like a write, but losing it must not be reported as a write
-// that may have taken effect.
+// Guards against reporting that a write may have taken effect when only its preparation was lost, which
+// goes to the primary like a write.
 func TestLostPrepare(t *testing.T) {
 	srv := startServer(t)
 	conn := srv.connect(t, "")
--- a/io/front/fake_test.go
+++ b/io/front/fake_test.go
@@ -17,15 +17,15 @@
 	"snipewall/core"
 )
 
-// fakeRouter answers requests like a database with one column "v". It keeps the requests.
+// fakeRouter answers requests like a database with one column "v". It records the requests.
 type fakeRouter struct {
 	mu       sync.Mutex
 	requests []*core.Request
 	pos      core.Position
 	closed   int
-	// quiet keeps no requests.
-	quiet bool
-	// hook, if it returns true, replaces the answer to a request.
+	// discardRequests disables the record of requests.
+	discardRequests bool
+	// hook, if set, is called first. If it returns true, its result is the answer.
 	hook func(ctx context.Context, req *core.Request, w core.ResponseWriter) (core.Result, bool, error)
 }
 
@@ -60,7 +60,7 @@
 
 func (f *fakeRouter) run(ctx context.Context, req *core.Request, w core.ResponseWriter, tx *fakeTx) (core.Result, error) {
 	f.mu.Lock()
-	if !f.quiet {
+	if !f.discardRequests {
 		f.requests = append(f.requests, req)
 	}
 	hook := f.hook
@@ -231,7 +231,7 @@
 	return done(word)
 }
 
-// fakePolicies is an operators' table.
+// fakePolicies implements core.Policies.
 type fakePolicies map[core.Kind]core.KindPolicy
 
 func (p fakePolicies) Policy(kind core.Kind) (core.KindPolicy, bool) {
--- a/io/front/fuzz_test.go
+++ b/io/front/fuzz_test.go
@@ -33,14 +33,14 @@
 	}()
 	assert.NilError(t, conn.SetDeadline(time.Now().Add(5*time.Second)))
 	_, _ = conn.Write(data)
-	// The end of a pipe also discards answers, so give the server the chance to write them.
+	// Closing a pipe discards answers that weren't read, so this gives the server time to write them.
 	if _, err := conn.Write(mustEncode(&pgproto3.Terminate{})); err == nil {
 		time.Sleep(time.Millisecond)
 	}
 	_ = conn.Close()
 	<-read
 	deadline := time.Now().Add(5 * time.Second)
-	for srv.open() > 0 {
+	for srv.sessionCount() > 0 {
 		if time.Now().After(deadline) {
 			t.Fatalf("the connection stays open after %q", data)
 		}
@@ -68,7 +68,7 @@
 	return mustEncode(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: m})
 }
 
-// No bytes before the start-up message may crash the process or keep a connection open.
+// Guards against bytes in place of a start-up message that crash the process or keep a connection open.
 func FuzzStartup(f *testing.F) {
 	f.Add(startupPacket())
 	f.Add(startupPacket("options", `-c snipewall.kind=quote --snipewall.session=a\ b`, "_pq_.x", "1"))
@@ -83,12 +83,13 @@
 	})
 }
 
-// No messages after the start-up may crash the process or keep a connection open.
+// Guards against messages after the start-up that crash the process, keep a connection open or leak
+// prepared statements.
 func FuzzMessages(f *testing.F) {
 	for _, msgs := range [][]pgproto3.FrontendMessage{
 		{query("begin; insert into t values (1); commit")},
-		join(run("insert into t values (1)"), flushMsg, run("commit"), syncMsg, closing('S', ""), syncMsg),
-		{parse("a", "select $1"), describe('S', "a"), bind("p", "a", "x"), execute("p"), closing('P', "p"), flushMsg, syncMsg},
+		join(run("insert into t values (1)"), flushMsg, run("commit"), syncMsg, closeMessage('S', ""), syncMsg),
+		{parse("a", "select $1"), describe('S', "a"), bind("p", "a", "x"), execute("p"), closeMessage('P', "p"), flushMsg, syncMsg},
 		join(run("set snipewall.kind = 'quote'"), run("show snipewall.kind"), run("begin"), flushMsg, run("rollback"), syncMsg),
 		{&pgproto3.FunctionCall{}, &pgproto3.CopyDone{}, &pgproto3.PasswordMessage{}},
 	} {
--- a/io/front/idle_test.go
+++ b/io/front/idle_test.go
@@ -16,9 +16,9 @@
 	"snipewall/core"
 )
 
-// idleLimit is the memory that an idle connection may take, in bytes: 256 MB over the 6,730
-// connections of an entry VM leave 38 KB, and the control tasks need most of that.
-const idleLimit = 8 << 10
+// maxIdleConnBytes is the limit of the memory for an idle connection. 256 MB for the 6,730 connections
+// of an entry VM are 38 KB each, but the control tasks need most of that.
+const maxIdleConnBytes = 8 << 10
 
 // parkDelay keeps the measurements short.
 const parkDelay = 50 * time.Millisecond
@@ -58,8 +58,8 @@
 	}
 }
 
-// heldMemory returns the memory of heap and stacks in use, after two collections: the first one
-// empties the pools, the second one shrinks the stacks.
+// heldMemory returns the memory of heap and stacks in use after several garbage collections, which
+// empty the pools and shrink the stacks.
 func heldMemory() uint64 {
 	for range 3 {
 		runtime.GC()
@@ -69,20 +69,20 @@
 	return m.HeapAlloc + m.StackInuse
 }
 
-// idleMemory measures bytes per idle connection over loopback, without those of the test's own
+// idleMemory measures the bytes per idle connection over loopback, without those of the test's own
 // sockets.
 func idleMemory(tb testing.TB, n int) uint64 {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(tb, err)
 	defer func() { assert.NilError(tb, l.Close()) }()
-	peer := bareSockets(tb, l, n)
+	peer := socketMemory(tb, l, n)
 	srv := startServer(tb, func(c *Config) { c.ParkDelay = parkDelay })
-	return idleHeld(tb, srv, func() (net.Conn, error) { return net.Dial("tcp", srv.addr) }, n) - peer
+	return measureIdle(tb, srv, func() (net.Conn, error) { return net.Dial("tcp", srv.addr) }, n) - peer
 }
 
-func idleHeld(tb testing.TB, srv *testServer, dial func() (net.Conn, error), n int) uint64 {
+func measureIdle(tb testing.TB, srv *testServer, dial func() (net.Conn, error), n int) uint64 {
 	tb.Helper()
-	srv.router.quiet = true
+	srv.router.discardRequests = true
 	before := heldMemory()
 	conns := openIdle(tb, dial, n)
 	time.Sleep(2 * parkDelay)
@@ -90,8 +90,8 @@
 	for _, c := range conns {
 		assert.NilError(tb, c.Close())
 	}
-	// What this measurement leaves behind would count in the next one.
-	for srv.open() > 0 {
+	// Sessions that are still open would distort the next measurement.
+	for srv.sessionCount() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	return held / uint64(n)
@@ -123,8 +123,8 @@
 	return here, nil
 }
 
-// bareSockets measures what one dialed socket takes, so that the test's own side can be subtracted.
-func bareSockets(tb testing.TB, l net.Listener, n int) uint64 {
+// socketMemory measures the bytes of one dialed socket, which is what the test's own side takes.
+func socketMemory(tb testing.TB, l net.Listener, n int) uint64 {
 	tb.Helper()
 	conns := make([]net.Conn, 0, 2*n)
 	before := heldMemory()
@@ -142,19 +142,19 @@
 	return held / uint64(2*n)
 }
 
-// Thousands of idle connections must fit into the memory of an entry VM.
+// Guards against idle connections whose memory grows: thousands must fit into an entry VM.
 func TestIdleMemory(t *testing.T) {
 	if testing.Short() {
 		t.Skip("opens 1,000 connections")
 	}
 	perConn := idleMemory(t, 1000)
 	t.Logf("%d bytes per idle connection", perConn)
-	assert.Assert(t, perConn < idleLimit)
+	assert.Assert(t, perConn < maxIdleConnBytes)
 }
 
-// BenchmarkIdle reports bytes per idle connection over loopback, where the limit of 20,000
-// descriptors allows 9,900, and over net.Pipe with both ends. The runtime keeps the goroutines and
-// stacks of an earlier measurement, so that only the first one of a process is exact.
+// BenchmarkIdle reports the bytes per idle connection over loopback, where the limit of 20,000
+// descriptors allows 9,900 connections, and over net.Pipe including both ends. Only the first
+// measurement of a process is exact, since the runtime keeps the goroutines and stacks of earlier ones.
 func BenchmarkIdle(b *testing.B) {
 	report := func(name string, measure func(b *testing.B) uint64) {
 		b.Run(name, func(b *testing.B) {
@@ -172,18 +172,18 @@
 	for _, n := range []int{1000, 5000, 10000} {
 		report(fmt.Sprintf("Pipe/%d", n), func(b *testing.B) uint64 {
 			srv, l := pipeServer(b, func(c *Config) { c.ParkDelay = parkDelay })
-			return idleHeld(b, srv, l.dial, n)
+			return measureIdle(b, srv, l.dial, n)
 		})
 	}
 }
 
-// BenchmarkQuery measures a request over loopback, whose router answers at once. Compare it with
-// BenchmarkLoopback, which is the cost of the sockets alone.
+// BenchmarkQuery measures a request over loopback with a router that answers at once. BenchmarkLoopback
+// shows the cost of the sockets alone.
 func BenchmarkQuery(b *testing.B) {
 	for name, sql := range map[string]string{"Read": "select 1", "Write": "insert into t values (1)"} {
 		b.Run(name, func(b *testing.B) {
 			srv := startServer(b)
-			srv.router.quiet = true
+			srv.router.discardRequests = true
 			srv.router.setHook(answerAtOnce)
 			conn := openIdle(b, func() (net.Conn, error) { return net.Dial("tcp", srv.addr) }, 1)[0]
 			msg, err := query(sql).Encode(nil)
@@ -193,7 +193,7 @@
 	}
 }
 
-// answerAtOnce is a hook that answers with one row and allocates little.
+// answerAtOnce is a hook that answers a write or a read of one row with few allocations.
 func answerAtOnce(_ context.Context, req *core.Request, w core.ResponseWriter) (core.Result, bool, error) {
 	res := core.Result{Status: core.TxIdle}
 	if req.Class == core.ClassWrite {
--- a/io/front/local.go
+++ b/io/front/local.go
@@ -36,7 +36,7 @@
 	return true
 }
 
-// describe puts the row description of a local statement.
+// describe adds the row description of a local statement.
 func (a *answer) describe(o *op) {
 	for i := range o.st.info.Locals {
 		if l := &o.st.info.Locals[i]; l.Action == stmt.ActionShow {
@@ -50,7 +50,7 @@
 // textOID is the type of the values that SHOW returns.
 const textOID = 25
 
-// showDescription describes the row of SHOW. Text has the same form in both formats.
+// showDescription describes the row of SHOW. Its value is the same in text and binary format.
 func (s *session) showDescription(l *stmt.Local, formats []int16) *pgproto3.RowDescription {
 	field := pgproto3.FieldDescription{Name: []byte(l.Name), DataTypeOID: textOID,
 		DataTypeSize: -1, TypeModifier: -1}
@@ -60,7 +60,7 @@
 	return &pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{field}}
 }
 
-// result puts the rows and the completion of a local statement that was applied.
+// result adds the rows and the completion of a local statement that was applied.
 func (a *answer) result(l *stmt.Local) {
 	tag := "SET"
 	switch l.Action {
@@ -83,7 +83,7 @@
 	a.put(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
 }
 
-// apply executes a local statement. SHOW has no effect.
+// apply executes a local statement, apart from its answer.
 func (s *session) apply(l *stmt.Local) error {
 	switch l.Action {
 	case stmt.ActionSet:
--- a/io/front/metrics.go
+++ b/io/front/metrics.go
@@ -9,10 +9,10 @@
 	"snipewall/core"
 )
 
-// latencyBuckets covers 100 us to 13 s.
+// latencyBuckets covers 100 µs to 13 s.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(100*time.Microsecond, 2, 18)
 
-// metrics holds the counters, so that the hot path doesn't look them up by name.
+// metrics holds the counters and histograms, so that requests don't look them up by name.
 type metrics struct {
 	scope          tally.Scope
 	opened, closed tally.Counter
@@ -43,7 +43,7 @@
 	return m
 }
 
-// failed counts an error that the front itself reports, by SQLSTATE.
+// failed counts an error that the listener itself reports, by SQLSTATE.
 func (m *metrics) failed(state string) {
 	m.mu.RLock()
 	c := m.errors[state]
--- a/io/front/params.go
+++ b/io/front/params.go
@@ -16,49 +16,49 @@
 	paramRequestID = stmt.Prefix + "request_id"
 )
 
-// maxName limits the length of a session name and of a request id, in bytes.
-const maxName = 256
+// maxNameBytes limits the length of a session name and of a request id.
+const maxNameBytes = 256
 
-// fixedParam is a parameter that all upstream connections have in common. Setting it to a value
+// fixedParam is a parameter that has the same value on all upstream connections. Setting it to a value
 // with the same meaning has no effect; any other value is refused.
 type fixedParam struct {
-	// display is the name in reports to the caller, empty if the parameter isn't reported.
-	display string
-	value   string
-	// same lists further values with the same meaning, normalized. nil accepts any value.
-	same []string
-	any  bool
+	// reportedName is the name in ParameterStatus messages; empty if the parameter isn't reported.
+	reportedName string
+	value        string
+	// synonyms lists further values with the same meaning, normalized.
+	synonyms []string
+	any      bool
 }
 
-// fixedParams holds them by lower-case name.
+// fixedParams holds the fixed parameters by their lower-case names.
 var fixedParams = map[string]fixedParam{
-	"application_name":            {display: "application_name", any: true},
-	"client_encoding":             {display: "client_encoding", value: "UTF8", same: []string{"utf-8", "unicode"}},
-	"server_encoding":             {display: "server_encoding", value: "UTF8"},
-	"datestyle":                   {display: "DateStyle", value: "ISO, MDY", same: []string{"iso"}},
-	"intervalstyle":               {display: "IntervalStyle", value: "postgres"},
-	"timezone":                    {display: "TimeZone", value: "UTC", same: []string{"etc/utc", "gmt", "z", "0"}},
-	"integer_datetimes":           {display: "integer_datetimes", value: "on"},
-	"standard_conforming_strings": {display: "standard_conforming_strings", value: "on", same: []string{"true", "1", "yes"}},
+	"application_name":            {reportedName: "application_name", any: true},
+	"client_encoding":             {reportedName: "client_encoding", value: "UTF8", synonyms: []string{"utf-8", "unicode"}},
+	"server_encoding":             {reportedName: "server_encoding", value: "UTF8"},
+	"datestyle":                   {reportedName: "DateStyle", value: "ISO, MDY", synonyms: []string{"iso"}},
+	"intervalstyle":               {reportedName: "IntervalStyle", value: "postgres"},
+	"timezone":                    {reportedName: "TimeZone", value: "UTC", synonyms: []string{"etc/utc", "gmt", "z", "0"}},
+	"integer_datetimes":           {reportedName: "integer_datetimes", value: "on"},
+	"standard_conforming_strings": {reportedName: "standard_conforming_strings", value: "on", synonyms: []string{"true", "1", "yes"}},
 	// From PostgreSQL 12 on, all values above 0 give the same output.
-	"extra_float_digits": {value: "1", same: []string{"2", "3"}},
-	// Callers that look for a server that accepts writes find one in every entry VM.
-	"in_hot_standby":                {display: "in_hot_standby", value: "off"},
+	"extra_float_digits": {value: "1", synonyms: []string{"2", "3"}},
+	// Drivers that look for a server that accepts writes can use every entry VM.
+	"in_hot_standby":                {reportedName: "in_hot_standby", value: "off"},
 	"bytea_output":                  {value: "hex"},
 	"client_min_messages":           {value: "notice"},
 	"default_transaction_isolation": {value: "read committed"},
-	"default_transaction_read_only": {display: "default_transaction_read_only", value: "off", same: []string{"false", "0", "no"}},
+	"default_transaction_read_only": {reportedName: "default_transaction_read_only", value: "off", synonyms: []string{"false", "0", "no"}},
 	"statement_timeout":             {value: "0"},
 	"lock_timeout":                  {value: "0"},
-	"search_path":                   {value: `"$user", public`, same: []string{`$user,public`}},
+	"search_path":                   {value: `"$user", public`, synonyms: []string{`$user,public`}},
 }
 
-// reportedParams is the order of the reports at start-up.
+// reportedParams lists the parameters that are reported at start-up, in that order.
 var reportedParams = []string{"application_name", "client_encoding", "datestyle",
 	"default_transaction_read_only", "in_hot_standby", "integer_datetimes", "intervalstyle", "server_encoding", "standard_conforming_strings",
 	"timezone"}
 
-// normalize makes values comparable.
+// normalize returns the form in which two values are compared.
 func normalize(v string) string {
 	return strings.ToLower(strings.ReplaceAll(strings.TrimSpace(v), ", ", ","))
 }
@@ -71,7 +71,7 @@
 	if v == normalize(p.value) {
 		return true
 	}
-	for _, same := range p.same {
+	for _, same := range p.synonyms {
 		if v == same {
 			return true
 		}
@@ -82,7 +82,7 @@
 // setParam sets a parameter for the session.
 func (s *session) setParam(name, value string) error {
 	if strings.HasPrefix(name, stmt.Prefix) {
-		return s.setOwn(name, value)
+		return s.setSnipewallParam(name, value)
 	}
 	p, ok := fixedParams[name]
 	switch {
@@ -98,18 +98,18 @@
 	return nil
 }
 
-// setOwn sets one of snipewall's parameters.
-func (s *session) setOwn(name, value string) error {
+// setSnipewallParam sets one of snipewall's own parameters.
+func (s *session) setSnipewallParam(name, value string) error {
 	switch name {
 	case paramSession, paramRequestID:
-		if len(value) > maxName {
-			return invalidParameter(fmt.Sprintf("%s is longer than %d bytes", name, maxName))
+		if len(value) > maxNameBytes {
+			return invalidParameter(fmt.Sprintf("%s is longer than %d bytes", name, maxNameBytes))
 		}
 	}
 	switch name {
 	case paramSession:
 		if core.SessionID(value) != s.name {
-			s.name, s.brought = core.SessionID(strings.Clone(value)), false
+			s.name, s.positionGiven = core.SessionID(strings.Clone(value)), false
 		}
 	case paramRequestID:
 		s.requestID = core.RequestID(strings.Clone(value))
@@ -124,7 +124,7 @@
 		if err != nil {
 			return invalidParameter(err.Error())
 		}
-		s.pos, s.brought = s.pos.Max(pos), true
+		s.pos, s.positionGiven = s.pos.Max(pos), true
 	default:
 		return &callerError{State: stateUndefinedParameter,
 			Message: fmt.Sprintf("unrecognized configuration parameter %q", name),
@@ -134,28 +134,29 @@
 	return nil
 }
 
-// resetParam resets a parameter of the session.
+// resetParam resets a parameter of the session, or all of them. The kind and the session name go back
+// to their values from the start-up message.
 func (s *session) resetParam(name string) error {
 	switch name {
 	case "all":
-		s.kind, s.name, s.requestID, s.brought = s.startKind, s.startName, "", false
+		s.kind, s.name, s.requestID, s.positionGiven = s.startKind, s.startName, "", false
 	case paramSession:
-		s.name, s.brought = s.startName, false
+		s.name, s.positionGiven = s.startName, false
 	case paramKind:
 		s.kind = s.startKind
 	case paramRequestID:
 		s.requestID = ""
 	case paramPosition:
-		s.brought = false
+		s.positionGiven = false
 	default:
 		if strings.HasPrefix(name, stmt.Prefix) {
-			return s.setOwn(name, "")
+			return s.setSnipewallParam(name, "")
 		}
 	}
 	return nil
 }
 
-// discardState executes DISCARD. Only DISCARD ALL concerns state that the session keeps.
+// discardState executes DISCARD. Only DISCARD ALL affects state that the session holds.
 func (s *session) discardState(what string) error {
 	switch what {
 	case "plans", "sequences", "temp", "temporary":
@@ -174,7 +175,7 @@
 	return s.resetParam("all")
 }
 
-// showParam returns the value of one of snipewall's parameters.
+// showParam returns the value of one of snipewall's own parameters.
 func (s *session) showParam(name string) (string, error) {
 	switch name {
 	case paramSession:
@@ -186,5 +187,5 @@
 	case paramRequestID:
 		return string(s.requestID), nil
 	}
-	return "", s.setOwn(name, "")
+	return "", s.setSnipewallParam(name, "")
 }
--- a/io/front/params_test.go
+++ b/io/front/params_test.go
@@ -18,8 +18,8 @@
 	return core.Position{Term: term, Offset: offset}
 }
 
-// A named session needs a read index until its caller brings a position, and a connection's own
-// writes always count.
+// Guards against stale reads: a named session needs a read index until its caller gives a position, and
+// a read must see the connection's own writes.
 func TestReadYourWrites(t *testing.T) {
 	srv := startServer(t)
 	conn := srv.connect(t, "&snipewall.session=desk-4")
@@ -61,7 +61,8 @@
 	assert.Equal(t, shown, "1/7")
 }
 
-// The policy is looked up per request, and a request id protects one write only.
+// Guards against requests with the policy of another kind, and against a request id that applies to
+// more than one write.
 func TestKindAndRequestID(t *testing.T) {
 	srv := startServer(t)
 	conn := srv.connect(t, "&options=-c%20snipewall.kind%3Dquote")
@@ -106,8 +107,8 @@
 	}
 }
 
-// RESET and DISCARD ALL go back to what the start-up message set, as in PostgreSQL. Drivers send
-// DISCARD ALL whenever they take a connection back into their pool.
+// Guards against RESET and DISCARD ALL that lose the values of the start-up message, which PostgreSQL
+// restores. Drivers send DISCARD ALL whenever they return a connection to their pool.
 func TestResetToStartup(t *testing.T) {
 	srv := startServer(t)
 	conn := srv.connect(t, "&snipewall.kind=quote&snipewall.session=desk-4&snipewall.position=1/7")
@@ -124,7 +125,8 @@
 	}
 }
 
-// A process that takes more connections than its memory holds would fail for all of them.
+// Guards against accepting more connections than the memory of the process allows, which would end
+// all of them.
 func TestConnectionLimit(t *testing.T) {
 	srv := startServer(t, func(c *Config) { c.MaxConnections = 1 })
 	conn := srv.connect(t, "")
@@ -134,8 +136,8 @@
 	assert.NilError(t, err)
 }
 
-// A caller that asks for a later minor version, or for options of the protocol, must be told what
-// is served instead of being refused.
+// Guards against refusing callers that ask for a later minor version or for options of the protocol,
+// instead of telling them what is supported.
 func TestNegotiateVersion(t *testing.T) {
 	packet := startupPacket("_pq_.b", "1", "_pq_.a", "1")[4:]
 	copy(packet, []byte{0, 3, 0, 9})
--- a/io/front/pgx_test.go
+++ b/io/front/pgx_test.go
@@ -9,8 +9,8 @@
 	"snipewall/core"
 )
 
-// A driver in its default mode caches named prepared statements, which must keep working although
-// every request may run on another upstream connection.
+// Guards against named prepared statements that stop working, which drivers cache by default, because
+// a request runs on another upstream connection.
 func TestPgxModes(t *testing.T) {
 	for _, mode := range []pgx.QueryExecMode{pgx.QueryExecModeCacheStatement,
 		pgx.QueryExecModeCacheDescribe, pgx.QueryExecModeDescribeExec, pgx.QueryExecModeExec,
@@ -54,8 +54,8 @@
 	assert.Equal(t, conn.PgConn().TxStatus(), byte('I'))
 }
 
-// Guards against a valid write that fails because it was prepared on a replica that has not applied
-// the creation of its table, and against preparation in the queue of another kind.
+// Guards against a valid write that fails because it was prepared on a replica that has not yet applied
+// the creation of its table, and against preparing it in the queue of another kind.
 func TestWriteIsPreparedOnPrimary(t *testing.T) {
 	srv := startServer(t)
 	conn := srv.connect(t, "")
--- a/io/front/query.go
+++ b/io/front/query.go
@@ -11,7 +11,7 @@
 func (s *session) query(q *pgproto3.Query) bool {
 	switch {
 	case s.skipping || s.batch != nil && s.batch.err != nil:
-		// Everything up to Sync is ignored behind an error.
+		// After an error, everything up to Sync is ignored.
 		return true
 	case s.batch != nil || s.implicit:
 		s.batch = nil
@@ -28,7 +28,7 @@
 	switch {
 	case info.Unsupported != nil:
 		return s.answerError(info.Unsupported, true)
-	case info.Statements == 0 || len(info.Locals) > 0 || s.endsNothing(info):
+	case info.Statements == 0 || len(info.Locals) > 0 || s.isEndWithoutTx(info):
 		return s.queryLocal(info)
 	case s.failed:
 		return s.answerError(errInFailedTx, true)
@@ -41,12 +41,12 @@
 	return s.ready(a)
 }
 
-// endsNothing reports whether the statement is a COMMIT or ROLLBACK without a transaction.
-func (s *session) endsNothing(info stmt.Info) bool {
+// isEndWithoutTx reports whether the statement is a COMMIT or ROLLBACK while no transaction is open.
+func (s *session) isEndWithoutTx(info stmt.Info) bool {
 	return s.tx == nil && info.Class == core.ClassEnd && info.Statements == 1
 }
 
-// queryLocal answers a simple query that needs no upstream.
+// queryLocal serves a simple query that needs no upstream.
 func (s *session) queryLocal(info stmt.Info) bool {
 	a := newAnswer(s, nil)
 	switch {
@@ -60,7 +60,7 @@
 		for i := range info.Locals {
 			l := &info.Locals[i]
 			if err := s.apply(l); err != nil {
-				s.failBlock()
+				s.failTransaction()
 				a.fail(err)
 				break
 			}
--- a/io/front/reader.go
+++ b/io/front/reader.go
@@ -15,44 +15,45 @@
 const (
 	// readBufferSize is the size of the pooled read buffers.
 	readBufferSize = 8 << 10
-	// bodyStep is how much of a large message is allocated before its bytes have arrived, so that
-	// a header alone can't claim much memory.
-	bodyStep = 64 << 10
-	// maxStartup is the limit of a start-up packet in PostgreSQL.
-	maxStartup = 10_000
+	// bodyChunkSize is the number of bytes allocated for a large message before its body arrives, so that
+	// a header alone can't make the reader allocate much memory.
+	bodyChunkSize = 64 << 10
+	// maxStartupSize is PostgreSQL's limit for the length of a start-up packet in bytes.
+	maxStartupSize = 10_000
 )
 
 var readBuffers = sync.Pool{New: func() any { return new([readBufferSize]byte) }}
 
-// errTooLarge reports a message above the limit. Its body has been skipped.
-type errTooLarge struct {
+// messageTooLargeError reports a message above the size limit. Its body has been skipped, so that the
+// connection is still usable.
+type messageTooLargeError struct {
 	typ       byte
 	size, max int
 }
 
-func (e *errTooLarge) Error() string {
+func (e *messageTooLargeError) Error() string {
 	return fmt.Sprintf("message of %d bytes exceeds the limit of %d bytes", e.size, e.max)
 }
 
-// errProtocol reports bytes that aren't a message.
-type errProtocol struct{ reason string }
+// protocolError reports a violation of the protocol, after which the connection can't be used.
+type protocolError struct{ reason string }
 
-func (e *errProtocol) Error() string { return e.reason }
+func (e *protocolError) Error() string { return e.reason }
 
-// reader reads messages. It holds no buffer while it waits for the first byte of a message, which
-// is what keeps idle connections small; pgproto3.Backend holds one for its whole life.
+// reader reads messages. To keep idle connections small, it holds no buffer while it waits for the
+// first byte of a message, unlike pgproto3.Backend, which always holds one.
 type reader struct {
 	conn net.Conn
-	// raw gives access to the descriptor of an unencrypted connection, or is nil.
+	// raw gives access to the file descriptor of an unencrypted connection; nil if there is none.
 	raw  syscall.RawConn
 	buf  *[readBufferSize]byte
 	r, w int
 }
 
-// buffered returns the number of bytes that were read and not consumed yet.
+// buffered returns the number of bytes that were received but not consumed yet.
 func (rd *reader) buffered() int { return rd.w - rd.r }
 
-// release gives the buffer back if it is empty.
+// release returns the buffer to the pool if it is empty.
 func (rd *reader) release() {
 	if rd.buf != nil && rd.r == rd.w {
 		readBuffers.Put(rd.buf)
@@ -60,8 +61,8 @@
 	}
 }
 
-// drop gives the buffer back, whatever it contains.
-func (rd *reader) drop() {
+// discard drops what is buffered and returns the buffer to the pool.
+func (rd *reader) discard() {
 	rd.r = rd.w
 	rd.release()
 }
@@ -69,7 +70,7 @@
 // fill reads more bytes, at least one.
 func (rd *reader) fill() error {
 	if rd.buf == nil {
-		return rd.first()
+		return rd.fillFirst()
 	}
 	if rd.r > 0 {
 		rd.w = copy(rd.buf[:], rd.buf[rd.r:rd.w])
@@ -83,8 +84,8 @@
 	return err
 }
 
-// first waits for bytes without a buffer, then reads into one from the pool.
-func (rd *reader) first() error {
+// fillFirst waits until bytes arrive, and only then takes a buffer from the pool to read them into.
+func (rd *reader) fillFirst() error {
 	if rd.raw == nil {
 		var one [1]byte
 		if _, err := io.ReadFull(rd.conn, one[:]); err != nil {
@@ -95,12 +96,12 @@
 		return nil
 	}
 	var n int
-	var rerr error
+	var readErr error
 	err := rd.raw.Read(func(fd uintptr) bool {
 		buf := readBuffers.Get().(*[readBufferSize]byte)
 		for {
-			n, rerr = syscall.Read(int(fd), buf[:])
-			if !errors.Is(rerr, syscall.EINTR) {
+			n, readErr = syscall.Read(int(fd), buf[:])
+			if !errors.Is(readErr, syscall.EINTR) {
 				break
 			}
 		}
@@ -109,20 +110,20 @@
 			return true
 		}
 		readBuffers.Put(buf)
-		return !errors.Is(rerr, syscall.EAGAIN)
+		return !errors.Is(readErr, syscall.EAGAIN)
 	})
 	switch {
 	case err != nil:
 		return err
-	case rerr != nil:
-		return rerr
+	case readErr != nil:
+		return readErr
 	case n == 0:
 		return io.EOF
 	}
 	return nil
 }
 
-// peek makes n bytes available, at most the size of the buffer.
+// peek returns the next n bytes without consuming them. n is at most the size of the buffer.
 func (rd *reader) peek(n int) ([]byte, error) {
 	for rd.buffered() < n {
 		if err := rd.fill(); err != nil {
@@ -135,10 +136,10 @@
 	return rd.buf[rd.r : rd.r+n], nil
 }
 
-// body reads n bytes into memory of its own, which the messages of a request may refer to for as
-// long as an executor needs them.
+// body reads n bytes into newly allocated memory, so that messages can refer to it for as long as an
+// executor needs them.
 func (rd *reader) body(n int) ([]byte, error) {
-	body := make([]byte, 0, min(n, bodyStep))
+	body := make([]byte, 0, min(n, bodyChunkSize))
 	for len(body) < n {
 		if rd.buffered() == 0 {
 			if err := rd.fill(); err != nil {
@@ -176,14 +177,15 @@
 		return nil, err
 	}
 	n := int(int32(binary.BigEndian.Uint32(head))) - 4
-	if n < 4 || n > maxStartup {
-		return nil, &errProtocol{reason: fmt.Sprintf("invalid length of start-up packet: %d", n+4)}
+	if n < 4 || n > maxStartupSize {
+		return nil, &protocolError{reason: fmt.Sprintf("invalid length of start-up packet: %d", n+4)}
 	}
 	rd.r += 4
 	return rd.body(n)
 }
 
-// message reads the next message. The message is the caller's own and stays valid.
+// message reads the next message and returns it with its size. The message stays valid after the next
+// call.
 func (rd *reader) message(limit int) (pgproto3.FrontendMessage, int, error) {
 	head, err := rd.peek(5)
 	if err != nil {
@@ -193,29 +195,29 @@
 	n := int(int32(binary.BigEndian.Uint32(head[1:]))) - 4
 	msg := newMessage(typ)
 	if msg == nil {
-		return nil, 0, &errProtocol{reason: fmt.Sprintf("unknown message type 0x%02x", typ)}
+		return nil, 0, &protocolError{reason: fmt.Sprintf("unknown message type 0x%02x", typ)}
 	}
 	if n < 0 {
-		return nil, 0, &errProtocol{reason: fmt.Sprintf("invalid message length %d", n+4)}
+		return nil, 0, &protocolError{reason: fmt.Sprintf("invalid message length %d", n+4)}
 	}
 	rd.r += 5
 	if n > limit {
 		if err := rd.skip(n); err != nil {
 			return nil, 0, err
 		}
-		return msg, n, &errTooLarge{typ: typ, size: n, max: limit}
+		return msg, n, &messageTooLargeError{typ: typ, size: n, max: limit}
 	}
 	body, err := rd.body(n)
 	if err != nil {
 		return nil, 0, err
 	}
 	if err := msg.Decode(body); err != nil {
-		return nil, 0, &errProtocol{reason: err.Error()}
+		return nil, 0, &protocolError{reason: err.Error()}
 	}
 	return msg, n, nil
 }
 
-// newMessage returns an empty message of the type, or nil.
+// newMessage returns an empty message of the type, or nil if the type is unknown.
 func newMessage(typ byte) pgproto3.FrontendMessage {
 	switch typ {
 	case 'Q':
--- a/io/front/server.go
+++ b/io/front/server.go
@@ -19,16 +19,17 @@
 
 // Defaults of Config.
 const (
-	defaultMaxMessage     = 16 << 20
-	defaultDeadline       = 30 * time.Second
-	defaultStartupTimeout = 10 * time.Second
-	defaultMaxStatements  = 2048
-	defaultIdleInTx       = time.Minute
-	defaultParkDelay      = 5 * time.Second
-	defaultServerVersion  = "16.0 (snipewall)"
+	defaultMaxMessage      = 16 << 20
+	defaultDeadline        = 30 * time.Second
+	defaultStartupTimeout  = 10 * time.Second
+	defaultMaxStatements   = 2048
+	defaultIdleInTxTimeout = time.Minute
+	defaultParkDelay       = 5 * time.Second
+	defaultServerVersion   = "16.0 (snipewall)"
 )
 
-// Config holds what a Server needs. Listener, Router, Policies and Groups are required.
+// Config configures a Server. Listener, Router, Policies and Groups are required. Except where noted,
+// the zero value of a limit or a time stands for a default.
 type Config struct {
 	Listener net.Listener
 	Router   core.Executor
@@ -39,9 +40,9 @@
 	// TLSRequired refuses callers that don't ask for TLS.
 	TLSRequired bool
 	Log         log.Logger
-	// Metrics receives counters in Pascal case.
+	// Metrics receives the counters and histograms; nil discards them.
 	Metrics tally.Scope
-	// DefaultKind is the kind of callers that name none.
+	// DefaultKind is the kind of requests for which the caller sets none.
 	DefaultKind core.Kind
 	// MaxMessage limits one message, and the messages up to a Sync together, in bytes.
 	MaxMessage int
@@ -53,10 +54,11 @@
 	Deadline time.Duration
 	// StartupTimeout limits the time from accepting a connection to its start-up message.
 	StartupTimeout time.Duration
-	// IdleInTx limits the time that a caller may stay silent inside a transaction, which holds an
+	// IdleInTxTimeout limits the time that a caller may be idle inside a transaction, which holds an
 	// upstream connection.
-	IdleInTx time.Duration
-	// ParkDelay is how long a connection is idle before its memory is reduced further.
+	IdleInTxTimeout time.Duration
+	// ParkDelay is how long a connection is idle before its goroutine is replaced by a new one with a
+	// small stack.
 	ParkDelay time.Duration
 	// ServerVersion is reported to callers.
 	ServerVersion string
@@ -81,8 +83,8 @@
 	if c.StartupTimeout <= 0 {
 		c.StartupTimeout = defaultStartupTimeout
 	}
-	if c.IdleInTx <= 0 {
-		c.IdleInTx = defaultIdleInTx
+	if c.IdleInTxTimeout <= 0 {
+		c.IdleInTxTimeout = defaultIdleInTxTimeout
 	}
 	if c.ParkDelay <= 0 {
 		c.ParkDelay = defaultParkDelay
@@ -106,7 +108,7 @@
 	mu       sync.Mutex
 	sessions map[uint32]*session
 	nextKey  uint32
-	// ends receives the end of each connection.
+	// ends receives one value for each connection that has ended.
 	ends chan struct{}
 	// empty is closed when the last session ends while draining.
 	empty chan struct{}
@@ -160,7 +162,7 @@
 	return failure
 }
 
-// accept passes connections on until the listener is closed by the end of ctx or by Drain.
+// accept sends new connections to accepted until the end of ctx or Drain closes the listener.
 func (s *Server) accept(ctx context.Context, accepted chan<- net.Conn) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.cfg.Listener.Close() })
 	defer stop()
@@ -174,7 +176,7 @@
 			if errors.As(err, &ne) && ne.Timeout() {
 				continue
 			}
-			if retryAccept(ctx, err) {
+			if shouldRetryAccept(ctx, err) {
 				level.Warn(s.cfg.Log).Log("Msg", "accept failed, retrying", "Err", err)
 				continue
 			}
@@ -189,41 +191,42 @@
 	}
 }
 
-// serve starts a connection.
+// serve runs the start-up phase of a connection and then serves it.
 func (s *Server) serve(conn net.Conn) {
 	s.metrics.opened.Inc(1)
 	ss := newSession(s, conn)
 	if !s.register(ss) {
-		s.end(ss)
+		s.closeSession(ss)
 		return
 	}
 	if !ss.startup() {
-		s.end(ss)
+		s.closeSession(ss)
 		return
 	}
 	s.resume(ss)
 }
 
-// resume serves a connection. If it is idle for long, a fresh goroutine with a small stack goes on,
-// since a stack that has grown doesn't shrink to the initial size.
+// resume serves a connection. When the connection has been idle for ParkDelay, a new goroutine
+// continues, since a stack that has grown doesn't shrink back to its initial size.
 func (s *Server) resume(ss *session) {
 	if ss.loop() {
 		go s.resume(ss)
 		return
 	}
-	s.end(ss)
+	s.closeSession(ss)
 }
 
-// end closes a connection. Drain returns after the last unregister, when transactions must have
-// ended.
-func (s *Server) end(ss *session) {
+// closeSession closes a connection. The session is unregistered last, since Drain returns when no
+// session is registered, and all transactions must have ended by then.
+func (s *Server) closeSession(ss *session) {
 	ss.close()
 	s.unregister(ss)
 	s.metrics.closed.Inc(1)
 	s.ends <- struct{}{}
 }
 
-// register gives the session a key for CancelRequest. It returns false if the server has stopped.
+// register adds the session under a new key for CancelRequest. It returns false if the server has
+// stopped.
 func (s *Server) register(ss *session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -269,7 +272,7 @@
 	}
 }
 
-// cancel cancels the running request of the session with the key.
+// cancel cancels the running request of the session with the key, if the secret is right.
 func (s *Server) cancel(key, secret uint32) {
 	s.mu.Lock()
 	ss := s.sessions[key]
@@ -279,9 +282,9 @@
 	}
 }
 
-// Drain stops the server gracefully. It stops accepting, closes idle connections, and refuses new
-// work as not run. Requests and transactions in flight go on. It returns when all connections have
-// ended, or with the error of ctx. Run continues until its own context ends.
+// Drain stops the server gracefully: it closes the listener and idle connections, and makes the server
+// refuse new requests as not run. Requests and transactions in progress go on. Drain returns when all
+// connections have ended, or the error of ctx. Run continues until its own context ends.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	if err := s.cfg.Listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -292,24 +295,24 @@
 		s.signalEmpty()
 	}
 	for _, ss := range s.sessions {
-		ss.wakeIfIdle()
+		ss.closeIfIdle()
 	}
 	s.mu.Unlock()
 	select {
 	case <-s.empty:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("drain: %d connections still open: %w", s.open(), ctx.Err())
+		return fmt.Errorf("drain: %d connections still open: %w", s.sessionCount(), ctx.Err())
 	}
 }
 
-func (s *Server) open() int {
+func (s *Server) sessionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.sessions)
 }
 
-// Dump returns the state of the server.
+// Dump implements core.Dumper.
 func (s *Server) Dump() any {
 	d := struct {
 		Connections, Busy, Idle  int
--- a/io/front/session.go
+++ b/io/front/session.go
@@ -16,28 +16,28 @@
 	"snipewall/core"
 )
 
-// States of a session, as Drain sees them.
+// States of a session that Drain distinguishes.
 const (
 	stateBusy int32 = iota
-	// stateIdle: waiting for the first byte of a request, outside of a transaction.
+	// stateIdle means that the session waits for the first byte of a request outside of a transaction.
 	stateIdle
-	// stateClosing: Drain has asked the session to end.
+	// stateClosing means that Drain has asked the session to end.
 	stateClosing
 )
 
-// lingerTime is how long a closing connection reads what the caller sent before. Closing a TCP
-// connection with unread bytes resets it, which can destroy the last message on its way.
-const lingerTime = 200 * time.Millisecond
+// lingerTimeout is how long a closing connection still reads what the caller has sent. Closing a TCP
+// connection with unread bytes resets it, so that the caller may not receive the last message.
+const lingerTimeout = 200 * time.Millisecond
 
 // session is one caller's connection. Only its own goroutine uses it, except for the fields that
-// say otherwise. There are thousands of idle ones, so it holds no buffers.
+// say otherwise. It holds no buffers, since an entry VM has thousands of idle sessions.
 type session struct {
 	srv *Server
-	// conn is replaced when the caller starts TLS. raw is the connection that was accepted; other
-	// goroutines use it.
+	// conn is the connection to read and write; TLS replaces it. raw is the connection that was accepted.
+	// Other goroutines may use raw.
 	conn net.Conn
 	raw  net.Conn
-	// sys gives access to the descriptor of the accepted connection, or is nil.
+	// sys gives access to the file descriptor of raw; nil if raw has none.
 	sys syscall.RawConn
 	rd  reader
 
@@ -45,20 +45,20 @@
 	secret uint32
 	// state is atomic.
 	state atomic.Int32
-	// running is the request in flight, for CancelRequest. It is atomic.
+	// running is the request in progress, for CancelRequest. It is atomic.
 	running atomic.Pointer[running]
 
 	group     core.GroupID
 	kind      core.Kind
 	name      core.SessionID
 	requestID core.RequestID
-	// startKind and startName are the values of the start-up message, to which RESET goes back.
+	// startKind and startName are the values from the start-up message, which RESET restores.
 	startKind core.Kind
 	startName core.SessionID
-	// pos covers what the caller brought and what its own writes reached.
+	// pos is the highest of the positions that the caller has given and that its own writes have reached.
 	pos core.Position
-	// brought tells that the caller supplied a position for the session name.
-	brought bool
+	// positionGiven is set if the caller has given a position for the current session name.
+	positionGiven bool
 
 	// unnamed is the unnamed prepared statement, or nil.
 	unnamed *statement
@@ -66,23 +66,23 @@
 	stmts map[string]*statement
 	// batch collects the messages of the extended protocol up to Sync; nil if there are none.
 	batch *batch
-	// skipping tells that messages up to the next Sync are ignored after an error.
+	// skipping is set if messages up to the next Sync are ignored because of an error.
 	skipping bool
 
 	tx       core.Tx
 	txStatus core.TxStatus
-	// failed tells that a transaction ended by an error while the caller's transaction block is
-	// still open: everything is refused with 25P02 until the caller ends the block.
+	// failed is set if the transaction has ended with an error but the caller's transaction block is
+	// still open. Everything is refused with 25P02 until the caller ends the block.
 	failed bool
-	// implicit tells that tx was opened for a batch that is cut by Flush, and ends at Sync.
+	// implicit is set if the listener opened tx for a batch with a Flush. Such a transaction ends at Sync.
 	implicit bool
-	// parked tells that the connection waits on a fresh goroutine.
+	// parked is set while the connection waits on a new goroutine with a small stack.
 	parked bool
-	// broken is the error that made the connection unusable.
+	// broken is the error that made the connection unusable, or nil.
 	broken error
 }
 
-// running is a request in flight.
+// running is a request in progress.
 type running struct {
 	cancel   context.CancelFunc
 	canceled atomic.Bool
@@ -99,20 +99,20 @@
 	return s
 }
 
-// setConn continues on an encrypted connection.
+// setConn replaces the connection by an encrypted one.
 func (s *session) setConn(conn net.Conn) {
 	s.conn = conn
 	s.rd = reader{conn: conn}
 }
 
-// close releases everything. An open transaction is rolled back.
+// close closes the connection and releases what the session holds. An open transaction is rolled back.
 func (s *session) close() {
 	s.endTx()
 	for _, st := range s.stmts {
 		s.srv.stmts.release(st)
 	}
 	s.stmts = nil
-	s.rd.drop()
+	s.rd.discard()
 	_ = s.conn.Close()
 }
 
@@ -129,7 +129,7 @@
 	s.implicit = false
 }
 
-// cancelRunning cancels the request in flight. It may be called from any goroutine.
+// cancelRunning cancels the request in progress. It may be called from any goroutine.
 func (s *session) cancelRunning() {
 	if r := s.running.Load(); r != nil {
 		r.canceled.Store(true)
@@ -137,15 +137,15 @@
 	}
 }
 
-// wakeIfIdle ends the session if it waits for a request. It may be called from any goroutine.
-func (s *session) wakeIfIdle() {
+// closeIfIdle ends the session if it waits for a request. It may be called from any goroutine.
+func (s *session) closeIfIdle() {
 	if s.state.CompareAndSwap(stateIdle, stateClosing) {
 		_ = s.raw.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// loop serves messages until the connection ends. It returns true if the connection has become idle
-// and should be parked.
+// loop serves messages until the connection ends. It returns true if the connection is parked, and loop
+// must then be called on a new goroutine.
 func (s *session) loop() bool {
 	for s.broken == nil {
 		if !s.await() {
@@ -179,18 +179,19 @@
 	return s.awaitIdle()
 }
 
-// awaitIdle waits for a request outside of a transaction. It sets parked if none comes for a while.
+// awaitIdle waits for a request outside of a transaction. If none comes within ParkDelay, it sets parked
+// and returns false.
 func (s *session) awaitIdle() bool {
 	park := time.Now().Add(s.srv.cfg.ParkDelay)
 	if s.parked {
 		park = time.Time{}
 	}
-	// Drain sets a deadline of its own once the state is idle.
+	// This comes before the state becomes idle, since Drain then sets another deadline.
 	if err := s.conn.SetReadDeadline(park); err != nil {
 		return false
 	}
 	s.state.Store(stateIdle)
-	// Drain may have walked over the sessions before this one became idle.
+	// Drain may have visited this session before its state became idle.
 	if s.srv.draining.Load() {
 		s.state.CompareAndSwap(stateIdle, stateClosing)
 	}
@@ -199,7 +200,7 @@
 		err = s.rd.fill()
 	}
 	if !s.state.CompareAndSwap(stateIdle, stateBusy) {
-		s.goodbye()
+		s.closeForDrain()
 		return false
 	}
 	if !s.parked && errors.Is(err, os.ErrDeadlineExceeded) {
@@ -212,7 +213,7 @@
 
 // awaitInTx waits for the next message of a transaction for a limited time.
 func (s *session) awaitInTx() bool {
-	if err := s.conn.SetReadDeadline(time.Now().Add(s.srv.cfg.IdleInTx)); err != nil {
+	if err := s.conn.SetReadDeadline(time.Now().Add(s.srv.cfg.IdleInTxTimeout)); err != nil {
 		return false
 	}
 	err := s.rd.fill()
@@ -224,30 +225,30 @@
 	return err == nil && s.conn.SetReadDeadline(time.Time{}) == nil
 }
 
-// goodbye ends an idle connection because of Drain. Bytes that arrived meanwhile are discarded, so
-// that the message is true for them too.
-func (s *session) goodbye() {
-	s.rd.drop()
+// closeForDrain ends an idle connection because of Drain. Bytes that have arrived in the meantime are
+// discarded, since the error says that they were not run.
+func (s *session) closeForDrain() {
+	s.rd.discard()
 	s.fatal(errStopping)
 	s.linger()
 }
 
-// linger closes the sending side and reads what is left for a short time.
+// linger closes the sending side and reads for lingerTimeout what the caller still sends.
 func (s *session) linger() {
 	if c, ok := s.conn.(interface{ CloseWrite() error }); ok {
 		if err := c.CloseWrite(); err != nil {
 			return
 		}
-		if err := s.conn.SetReadDeadline(time.Now().Add(lingerTime)); err != nil {
+		if err := s.conn.SetReadDeadline(time.Now().Add(lingerTimeout)); err != nil {
 			return
 		}
 		_, _ = io.Copy(io.Discard, s.conn)
 	}
 }
 
-// readFailed handles an error of reading a message. It returns true if the connection goes on.
+// readFailed handles an error of reading a message. It returns true if the connection is still usable.
 func (s *session) readFailed(err error) bool {
-	var large *errTooLarge
+	var large *messageTooLargeError
 	if errors.As(err, &large) {
 		refusal := &callerError{State: stateLimitExceeded, Message: large.Error(),
 			Hint: "Send less data in one message."}
@@ -269,7 +270,7 @@
 		s.fatal(refusal)
 		return false
 	}
-	var proto *errProtocol
+	var proto *protocolError
 	if errors.As(err, &proto) {
 		s.fatal(&callerError{State: core.StateProtocolViolation, Message: proto.reason})
 		s.linger()
@@ -277,7 +278,7 @@
 	return false
 }
 
-// handle serves one message. It returns false at the end of the session.
+// handle serves one message. It returns false if the session ends.
 func (s *session) handle(msg pgproto3.FrontendMessage, size int) bool {
 	switch m := msg.(type) {
 	case *pgproto3.Query:
@@ -296,7 +297,7 @@
 		s.answerError(&callerError{State: core.StateUnsupported,
 			Message: "the function call protocol is not supported", Hint: "Use SELECT."}, true)
 	case *pgproto3.CopyData, *pgproto3.CopyDone, *pgproto3.CopyFail:
-		// As PostgreSQL does, ignore what is left of a COPY that failed.
+		// Ignores the rest of a COPY that failed, as PostgreSQL does.
 	default:
 		s.fatal(&callerError{State: core.StateProtocolViolation, Message: "unexpected message"})
 		return false
@@ -304,9 +305,9 @@
 	return true
 }
 
-// failBlock puts the caller's transaction block, if it has one, into the failed state, as any error
-// inside a transaction does.
-func (s *session) failBlock() {
+// failTransaction rolls an open transaction back after an error. The caller's transaction block, if
+// there is one, is then in the failed state.
+func (s *session) failTransaction() {
 	if s.tx == nil {
 		return
 	}
@@ -315,7 +316,7 @@
 	s.failed = explicit
 }
 
-// status is the transaction status of the caller's connection.
+// status returns the transaction status that the caller sees.
 func (s *session) status() core.TxStatus {
 	switch {
 	case s.failed:
@@ -326,7 +327,7 @@
 	return core.TxIdle
 }
 
-// ready ends an answer with ReadyForQuery. It returns false if the session ends.
+// ready ends an answer with ReadyForQuery and sends it. It returns false if the session ends.
 func (s *session) ready(a *answer) bool {
 	if s.broken != nil {
 		a.discard()
@@ -334,7 +335,7 @@
 	}
 	if a.refused {
 		if a.flush() == nil {
-			s.rd.drop()
+			s.rd.discard()
 			s.linger()
 		}
 		return false
@@ -343,10 +344,10 @@
 	return a.flush() == nil
 }
 
-// answerError answers with an error, and with ReadyForQuery if asked. An open transaction fails. It
-// returns false if the session ends.
+// answerError answers with an error, followed by ReadyForQuery if ready is set. An open transaction
+// fails. It returns false if the session ends.
 func (s *session) answerError(err error, ready bool) bool {
-	s.failBlock()
+	s.failTransaction()
 	a := newAnswer(s, nil)
 	a.fail(err)
 	if ready {
@@ -355,7 +356,7 @@
 	return a.flush() == nil
 }
 
-// fatal tells the caller why its connection ends.
+// fatal sends the error that ends the connection.
 func (s *session) fatal(err *callerError) {
 	resp := err.response()
 	resp.Severity, resp.SeverityUnlocalized = "FATAL", "FATAL"
--- a/io/front/session_test.go
+++ b/io/front/session_test.go
@@ -14,8 +14,8 @@
 	"snipewall/core"
 )
 
-// A request that was sent behind a COMMIT must be told that it hasn't run, not just lose its
-// connection.
+// Guards against a request that was pipelined after a COMMIT and loses its connection during Drain
+// without the error "not run".
 func TestDrainRefusesPipelined(t *testing.T) {
 	srv := startServer(t)
 	d := newDialogue(t, srv, nil)
@@ -38,7 +38,8 @@
 	assert.Equal(t, srv.router.last().Class, core.ClassEnd)
 }
 
-// Behind an error, everything up to Sync must be ignored, a Query too.
+// Guards against a Query that runs although it follows an error, after which everything up to Sync must
+// be ignored.
 func TestQueryBehindError(t *testing.T) {
 	srv := startServer(t)
 	d := newDialogue(t, srv, nil)
@@ -52,7 +53,7 @@
 	assert.Assert(t, strings.Contains(d.out.String(), "SELECT 1"), d.out.String())
 }
 
-// A Query behind Flush must not run inside the transaction that the batch opened.
+// Guards against a Query after Flush that runs inside the transaction which the Flush opened.
 func TestQueryBehindFlush(t *testing.T) {
 	srv := startServer(t)
 	d := newDialogue(t, srv, nil)
@@ -64,7 +65,7 @@
 	assert.Equal(t, srv.router.closed, 1)
 }
 
-// A batch that ends a failed transaction must be able to go on.
+// Guards against refusing the statements that follow the ROLLBACK of a failed transaction in one batch.
 func TestRollbackAndMoreInOneBatch(t *testing.T) {
 	d := newDialogue(t, startServer(t), nil)
 	d.ready(1)
@@ -75,9 +76,9 @@
 	assert.Assert(t, strings.Contains(d.out.String(), "INSERT 0 1"), d.out.String())
 }
 
-// A caller that holds a transaction open and goes silent must not hold an upstream connection.
+// Guards against a caller that is idle inside a transaction and holds an upstream connection forever.
 func TestIdleInTransaction(t *testing.T) {
-	srv := startServer(t, func(c *Config) { c.IdleInTx = 50 * time.Millisecond })
+	srv := startServer(t, func(c *Config) { c.IdleInTxTimeout = 50 * time.Millisecond })
 	d := newDialogue(t, srv, nil)
 	d.ready(1)
 	time.Sleep(100 * time.Millisecond)
@@ -87,7 +88,8 @@
 	assert.Equal(t, srv.router.closed, 1)
 }
 
-// The position of an error counts from the start of the caller's text, tags included.
+// Guards against wrong positions in errors: they count from the start of the caller's text, including
+// the tags, which the upstream may not have got.
 func TestErrorPosition(t *testing.T) {
 	srv := startServer(t)
 	srv.router.setHook(func(_ context.Context, _ *core.Request, w core.ResponseWriter) (core.Result, bool, error) {
@@ -108,7 +110,7 @@
 	return pgErr.Position
 }
 
-// failClass is a hook that loses the requests of a class.
+// failClass returns a hook that loses the connection for requests of the class after they were sent.
 func failClass(class core.Class) hook {
 	return func(_ context.Context, req *core.Request, _ core.ResponseWriter) (core.Result, bool, error) {
 		if req.Class != class {
@@ -119,8 +121,8 @@
 	}
 }
 
-// A batch that Flush cuts runs in a transaction of the listener, whose failures the caller must
-// learn, although it sent neither BEGIN nor COMMIT.
+// Guards against failures that are hidden from the caller when the listener's own BEGIN or COMMIT for a
+// batch with a Flush fails.
 func TestFlushTransactionFails(t *testing.T) {
 	for name, tc := range map[string]struct {
 		class core.Class
@@ -146,7 +148,8 @@
 	}
 }
 
-// An upstream that ends its connection with an error must not end the caller's.
+// Guards against a FATAL error by which the upstream closes its connection and which also closes the
+// caller's.
 func TestUpstreamFatal(t *testing.T) {
 	srv := startServer(t)
 	srv.router.setHook(func(_ context.Context, _ *core.Request, w core.ResponseWriter) (core.Result, bool, error) {
@@ -160,7 +163,7 @@
 	assert.NilError(t, err)
 }
 
-// Removing a kind from the table must not stop its callers, and must not let them read old data.
+// Guards against callers that fail or read old data because their kind was removed from the table.
 func TestRemovedKind(t *testing.T) {
 	table := fakePolicies{"quote": {Kind: "quote"},
 		"booking": {Kind: "booking", Rank: core.RankUrgent, AcceptedAge: time.Hour, Idempotent: true}}
--- a/io/front/startup.go
+++ b/io/front/startup.go
@@ -24,15 +24,16 @@
 	versionMajor = 3
 )
 
-// maxNegotiations limits the requests for encryption before the start-up message.
-const maxNegotiations = 3
+// maxStartupPackets limits the number of packets up to the start-up message. Callers that ask for GSS
+// encryption and then for TLS need three.
+const maxStartupPackets = 3
 
-// startup runs the start-up phase. It returns false if the connection ends.
+// startup runs the start-up phase. It returns false if the connection must be closed.
 func (s *session) startup() bool {
 	if err := s.conn.SetDeadline(time.Now().Add(s.srv.cfg.StartupTimeout)); err != nil {
 		return false
 	}
-	for range maxNegotiations {
+	for range maxStartupPackets {
 		packet, err := s.rd.startup()
 		if err != nil {
 			s.startupFailed(err)
@@ -53,15 +54,15 @@
 			}
 			return false
 		default:
-			return s.begin(packet)
+			return s.startSession(packet)
 		}
 	}
-	s.startupFailed(&errProtocol{reason: "too many requests for encryption"})
+	s.startupFailed(&protocolError{reason: "too many requests for encryption"})
 	return false
 }
 
 func (s *session) startupFailed(err error) {
-	var proto *errProtocol
+	var proto *protocolError
 	if errors.As(err, &proto) {
 		s.fatal(&callerError{State: core.StateProtocolViolation, Message: proto.reason})
 		s.linger()
@@ -71,7 +72,7 @@
 // startTLS answers an SSLRequest.
 func (s *session) startTLS() bool {
 	if s.conn != s.raw {
-		s.startupFailed(&errProtocol{reason: "SSLRequest on an encrypted connection"})
+		s.startupFailed(&protocolError{reason: "SSLRequest on an encrypted connection"})
 		return false
 	}
 	if s.srv.cfg.TLS == nil {
@@ -79,8 +80,8 @@
 		return err == nil
 	}
 	if s.rd.buffered() > 0 {
-		// Bytes before the handshake could have been injected into the clear text.
-		s.startupFailed(&errProtocol{reason: "unencrypted data after SSLRequest"})
+		// An attacker could have injected the bytes that came before the handshake in clear text.
+		s.startupFailed(&protocolError{reason: "unencrypted data after SSLRequest"})
 		return false
 	}
 	if _, err := s.conn.Write([]byte{'S'}); err != nil {
@@ -94,8 +95,8 @@
 	return true
 }
 
-// begin handles the start-up message.
-func (s *session) begin(packet []byte) bool {
+// startSession handles the start-up message. It returns false if the connection must be closed.
+func (s *session) startSession(packet []byte) bool {
 	params, negotiate, err := parseStartup(packet)
 	if err != nil {
 		s.startupFailed(err)
@@ -106,7 +107,7 @@
 		s.linger()
 		return false
 	}
-	if limit := s.srv.cfg.MaxConnections; limit > 0 && s.srv.open() > limit {
+	if limit := s.srv.cfg.MaxConnections; limit > 0 && s.srv.sessionCount() > limit {
 		s.fatal(&callerError{State: core.StateTooManyConnections,
 			Message: fmt.Sprintf("more than %d connections to this entry VM", limit),
 			Hint:    "Connect again, which may reach another entry VM."})
@@ -134,7 +135,7 @@
 		if name == "application_name" {
 			value = params[name]
 		}
-		a.put(&pgproto3.ParameterStatus{Name: p.display, Value: value})
+		a.put(&pgproto3.ParameterStatus{Name: p.reportedName, Value: value})
 	}
 	a.put(&pgproto3.ParameterStatus{Name: "server_version", Value: s.srv.cfg.ServerVersion})
 	a.put(&pgproto3.BackendKeyData{ProcessID: s.key, SecretKey: secret[:]})
@@ -144,18 +145,18 @@
 	return s.conn.SetDeadline(time.Time{}) == nil
 }
 
-// parseStartup decodes the start-up message. A higher minor version, or an option of the protocol,
-// is answered with the returned negotiation.
+// parseStartup decodes the start-up message. If the caller asks for a higher minor version or for
+// options of the protocol, it also returns the message that answers this.
 func parseStartup(packet []byte) (map[string]string, *pgproto3.NegotiateProtocolVersion, error) {
 	version := binary.BigEndian.Uint32(packet)
 	if version>>16 != versionMajor {
-		return nil, nil, &errProtocol{reason: fmt.Sprintf(
+		return nil, nil, &protocolError{reason: fmt.Sprintf(
 			"unsupported protocol version %d.%d", version>>16, version&0xffff)}
 	}
 	binary.BigEndian.PutUint32(packet, pgproto3.ProtocolVersion30)
 	var msg pgproto3.StartupMessage
 	if err := msg.Decode(packet); err != nil {
-		return nil, nil, &errProtocol{reason: "malformed start-up message"}
+		return nil, nil, &protocolError{reason: "malformed start-up message"}
 	}
 	var options []string
 	for name := range msg.Parameters {
@@ -172,11 +173,11 @@
 		NewestMinorProtocol: 0, UnrecognizedOptions: options}, nil
 }
 
-// applyStartup takes over the start-up parameters. Their names are in lower case afterwards.
+// applyStartup applies the parameters of the start-up message to the session.
 func (s *session) applyStartup(params map[string]string) error {
 	user := params["user"]
 	if user == "" {
-		return &callerError{State: stateInvalidAuthorizaton, Message: "no user name in the start-up message"}
+		return &callerError{State: stateInvalidAuthorization, Message: "no user name in the start-up message"}
 	}
 	database := params["database"]
 	if database == "" {
@@ -202,8 +203,8 @@
 			options = append(options, option{strings.ToLower(name), value})
 		}
 	}
-	// The session name comes first, since it resets whether a position was brought.
-	slices.SortStableFunc(options, func(a, b option) int { return rankOption(a) - rankOption(b) })
+	// The session name is set first, since setting it clears positionGiven.
+	slices.SortStableFunc(options, func(a, b option) int { return optionOrder(a) - optionOrder(b) })
 	for _, o := range options {
 		if err := s.setParam(o.name, o.value); err != nil {
 			return err
@@ -213,17 +214,18 @@
 	return nil
 }
 
-// option is a parameter given in the options of the start-up message.
+// option is a parameter from the start-up message.
 type option struct{ name, value string }
 
-func rankOption(o option) int {
+func optionOrder(o option) int {
 	if o.name == paramSession {
 		return 0
 	}
 	return 1
 }
 
-// parseOptions reads "-c name=value" and "--name=value". A backslash escapes the next character.
+// parseOptions parses the start-up parameter "options", which contains "-c name=value" and
+// "--name=value". A backslash escapes the next character.
 func parseOptions(text string) ([]option, error) {
 	var options []option
 	words := splitOptions(text)
--- a/io/front/startup_test.go
+++ b/io/front/startup_test.go
@@ -16,7 +16,8 @@
 	"snipewall/core"
 )
 
-// Packets that aren't a start-up message get the answer of the protocol, or an error that says why.
+// Guards against packets other than a start-up message that get no answer although the protocol
+// defines one, or no error.
 func TestStartupPackets(t *testing.T) {
 	srv := startServer(t, func(c *Config) { c.StartupTimeout = 500 * time.Millisecond })
 	ssl, gss := &pgproto3.SSLRequest{}, &pgproto3.GSSEncRequest{}
@@ -76,7 +77,8 @@
 	return c.Conn.Write(b)
 }
 
-// Each write is a system call and a packet, so that a short answer must be a single one.
+// Guards against short answers that take more than one write, each of which is a system call and a
+// packet.
 func TestOneWritePerAnswer(t *testing.T) {
 	srv, l := pipeServer(t)
 	here, there := net.Pipe()
@@ -107,7 +109,7 @@
 	assert.NilError(t, here.Close())
 }
 
-// failingListener fails with EMFILE before it accepts.
+// failingListener returns EMFILE a number of times before it accepts.
 type failingListener struct {
 	net.Listener
 	failures atomic.Int32
@@ -120,7 +122,7 @@
 	return l.Listener.Accept()
 }
 
-// A process that runs out of descriptors must accept again once some are free.
+// Guards against a server that stops accepting for good when the process runs out of descriptors.
 func TestAcceptRetries(t *testing.T) {
 	srv := startServer(t, func(c *Config) {
 		l := &failingListener{Listener: c.Listener}
--- a/io/front/statement.go
+++ b/io/front/statement.go
@@ -12,20 +12,20 @@
 	"snipewall/core/stmt"
 )
 
-// statement is a prepared statement of callers. Sessions that prepare the same SQL share it.
+// statement is a prepared statement. Sessions that prepare the same SQL share it.
 type statement struct {
-	// name is what the statement is called on upstreams. It depends on the SQL text and the
-	// parameter types only. It is empty for an unnamed statement that no later batch has used.
+	// name is the statement's name on upstreams, which depends on the SQL text and the parameter types
+	// only. It is empty for an unnamed statement that no later batch has used.
 	name string
-	// parse prepares the statement under its name.
+	// parse is the message that prepares the statement under name.
 	parse *pgproto3.Parse
 	info  stmt.Info
 	tags  stmt.Tags
-	// shift is the length of the tags' comment in characters, by which the positions in errors of
-	// the upstream differ from those in the caller's text.
-	shift int32
+	// positionOffset is the length of the comment with the tags in characters. It is added to the
+	// positions in errors of the upstream, which doesn't get the comment.
+	positionOffset int32
 
-	// refs counts the sessions that hold the statement. The interner guards it.
+	// refs counts the references of sessions to the statement. The interner's mu guards it.
 	refs int
 }
 
@@ -34,8 +34,8 @@
 	return st.info.Statements == 0 || len(st.info.Locals) > 0
 }
 
-// newStatement classifies the SQL of a Parse message. The comment with the tags isn't part of the
-// statement that upstreams see, so that statements that differ in their tags only are the same.
+// newStatement classifies the SQL of a Parse message. Upstreams don't get the comment with the tags, so
+// that statements which differ in their tags only are prepared once.
 func newStatement(p *pgproto3.Parse) (*statement, error) {
 	tags, head, err := stmt.ParseTags(p.Query)
 	if err != nil {
@@ -46,7 +46,7 @@
 	if u := st.info.Unsupported; u != nil {
 		return nil, u
 	}
-	st.shift = int32(utf8.RuneCountInString(p.Query[:head]))
+	st.positionOffset = int32(utf8.RuneCountInString(p.Query[:head]))
 	st.parse = &pgproto3.Parse{Query: sql, ParameterOIDs: p.ParameterOIDs}
 	if p.Name != "" {
 		st.setName()
@@ -54,15 +54,15 @@
 	return st, nil
 }
 
-// setName gives the statement its name on upstreams.
+// setName sets the statement's name on upstreams.
 func (st *statement) setName() {
 	st.name = statementName(st.parse.Query, st.parse.ParameterOIDs)
-	// The unnamed form may be part of a request that runs.
+	// A request in progress may refer to the unnamed message, so it isn't changed in place.
 	st.parse = &pgproto3.Parse{Name: st.name, Query: st.parse.Query, ParameterOIDs: st.parse.ParameterOIDs}
 }
 
-// statementName hashes the SQL and the parameter types. A collision would run another caller's
-// SQL, hence the cryptographic hash.
+// statementName hashes the SQL and the parameter types. The hash is cryptographic, since a collision
+// would run the SQL of another caller.
 func statementName(sql string, oids []uint32) string {
 	buf := make([]byte, 0, len(sql)+1+4*len(oids))
 	buf = append(buf, sql...)
@@ -76,14 +76,14 @@
 	return string(hex.AppendEncode(name, sum[:16]))
 }
 
-// statementKey identifies what sessions may share. Tags belong to it, since they apply whenever the
+// statementKey identifies a shared statement. It contains the tags, since they apply whenever the
 // statement is executed.
 type statementKey struct {
 	name string
 	tags stmt.Tags
 }
 
-// interner holds the prepared statements of all sessions once each.
+// interner keeps one copy of each prepared statement, which all sessions share.
 type interner struct {
 	mu    sync.Mutex
 	stmts map[statementKey]*statement
@@ -93,8 +93,8 @@
 	return &interner{stmts: make(map[statementKey]*statement)}
 }
 
-// hold returns the shared statement that equals st.
-func (n *interner) hold(st *statement) *statement {
+// acquire returns the shared statement that equals st and adds a reference to it.
+func (n *interner) acquire(st *statement) *statement {
 	key := statementKey{name: st.name, tags: st.tags}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -107,7 +107,7 @@
 	return st
 }
 
-// release ends a hold.
+// release removes a reference that acquire added.
 func (n *interner) release(st *statement) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/io/front/stress_test.go
+++ b/io/front/stress_test.go
@@ -15,8 +15,8 @@
 	"snipewall/core"
 )
 
-// echo answers with the text between quotes of the request's SQL or its first parameter, in several
-// rows with pauses, until its context ends.
+// echo is a hook that answers with the quoted text in the request's SQL, or with its first parameter, in
+// several rows and with pauses. It stops when its context ends.
 func echo(ctx context.Context, req *core.Request, w core.ResponseWriter) (core.Result, bool, error) {
 	req.Attempt.MarkSent()
 	var value []byte
@@ -59,10 +59,11 @@
 	return core.Result{Status: core.TxIdle}, true, nil
 }
 
-// Buffers are pooled, so that a fault in their handling would give a caller the rows of another one.
+// Guards against callers that get the rows of others because of a fault in the handling of pooled
+// buffers.
 func TestAnswersDoNotMix(t *testing.T) {
 	srv := startServer(t, func(c *Config) { c.ParkDelay = time.Millisecond })
-	srv.router.quiet = true
+	srv.router.discardRequests = true
 	srv.router.setHook(echo)
 	const callers, requests = 40, 60
 	ends := make(chan error, callers)
@@ -74,8 +75,7 @@
 	}
 }
 
-// checkOwnRows runs queries and checks that all rows are its own. Some are canceled, and some
-// connections end abruptly.
+// checkOwnRows runs queries, cancels some of them, and checks that all rows are its own.
 func checkOwnRows(url string, caller, requests int) error {
 	var conn *pgx.Conn
 	defer func() {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// A caller that doesn't read its answer must not hold the upstream connection.
+// Guards against a caller that doesn't read its answer and holds the upstream connection.
 func TestStalledCaller(t *testing.T) {
 	srv := startServer(t, func(c *Config) {
 		c.Policies = fakePolicies{"booking": {Kind: "booking", Deadline: 50 * time.Millisecond}}
@@ -145,7 +145,7 @@
 	}
 }
 
-// Batches of the driver put many statements before one Sync.
+// Guards against faults in a driver's batches, which have many statements before one Sync.
 func TestPgxBatch(t *testing.T) {
 	srv := startServer(t)
 	conn := srv.connect(t, "")
--- a/io/front/sync.go
+++ b/io/front/sync.go
@@ -7,7 +7,7 @@
 	"snipewall/core/stmt"
 )
 
-// sync ends a batch.
+// sync handles Sync: it runs the batch and answers with ReadyForQuery.
 func (s *session) sync() bool {
 	b := s.batch
 	s.batch = nil
@@ -26,7 +26,7 @@
 	return s.ready(a)
 }
 
-// serveBatch runs the batch as one request, or answers it without an upstream.
+// serveBatch runs the batch as one request, or answers it locally if no message is for the upstream.
 func (s *session) serveBatch(b *batch, a *answer) bool {
 	if b.remote == 0 {
 		s.srv.metrics.local.Inc(1)
@@ -37,9 +37,9 @@
 	return s.run(&b.unit, a)
 }
 
-// flush answers the messages of a batch so far. They run as a request of their own. If the batch
-// has executed something outside of a transaction, what precedes and follows the Flush must still
-// take effect as a whole, so that a transaction is opened for it.
+// flush handles Flush: it runs the messages of the batch so far as a request of their own. If they
+// execute something outside of a transaction, it opens one first, so that what precedes and what
+// follows the Flush take effect as a whole.
 func (s *session) flush() bool {
 	b := s.batch
 	s.batch = nil
@@ -61,38 +61,38 @@
 	return a.flush() == nil
 }
 
-// beginImplicit opens the transaction of a batch that is cut by Flush.
+// beginImplicit opens the transaction for a batch with a Flush.
 func (s *session) beginImplicit(a *answer) bool {
 	u := unit{
-		own:      true,
+		internal: true,
 		info:     stmt.Info{Class: core.ClassBegin, Statements: 1, Begins: true},
 		messages: []pgproto3.FrontendMessage{&pgproto3.Query{String: "BEGIN"}},
 	}
-	quiet := newAnswer(s, nil)
-	defer quiet.discard()
-	if !s.run(&u, quiet) || s.tx == nil {
-		a.adopt(quiet)
+	internalAnswer := newAnswer(s, nil)
+	defer internalAnswer.discard()
+	if !s.run(&u, internalAnswer) || s.tx == nil {
+		a.takeError(internalAnswer)
 		return false
 	}
 	s.implicit = true
 	return true
 }
 
-// endImplicit commits or rolls back the transaction of a batch that was cut by Flush.
+// endImplicit commits or rolls back the transaction that beginImplicit opened.
 func (s *session) endImplicit(a *answer) {
 	if !s.implicit || s.tx == nil {
 		return
 	}
-	u := unit{own: true, info: stmt.Info{Class: core.ClassEnd, Statements: 1, Ends: true, Commits: true},
+	u := unit{internal: true, info: stmt.Info{Class: core.ClassEnd, Statements: 1, Ends: true, Commits: true},
 		messages: []pgproto3.FrontendMessage{&pgproto3.Query{String: "COMMIT"}}}
 	if a.failed || s.txStatus == core.TxFailed {
 		s.endTx()
 		return
 	}
-	quiet := newAnswer(s, nil)
-	defer quiet.discard()
-	if !s.run(&u, quiet) {
-		a.adopt(quiet)
+	internalAnswer := newAnswer(s, nil)
+	defer internalAnswer.discard()
+	if !s.run(&u, internalAnswer) {
+		a.takeError(internalAnswer)
 		s.endTx()
 		return
 	}
@@ -101,11 +101,11 @@
 	}
 }
 
-// adopt takes over the error of a request that the listener added.
-func (a *answer) adopt(quiet *answer) {
-	a.refused = quiet.refused
+// takeError copies the error of a request that the listener itself issued.
+func (a *answer) takeError(internalAnswer *answer) {
+	a.refused = internalAnswer.refused
 	if !a.failed {
-		*a.buf = append(*a.buf, *quiet.buf...)
+		*a.buf = append(*a.buf, *internalAnswer.buf...)
 		a.failed = true
 	}
 }
--- a/io/front/unit.go
+++ b/io/front/unit.go
@@ -11,24 +11,25 @@
 	"snipewall/core/stmt"
 )
 
-// unit is what becomes one core.Request.
+// unit is a unit of work, which becomes one core.Request.
 type unit struct {
 	info stmt.Info
 	tags stmt.Tags
-	// earlierPortal tells that the unit executes a portal of an earlier batch, which may hold any
+	// usesEarlierPortal is set if the unit executes a portal of an earlier batch, which may contain any
 	// statement.
-	earlierPortal bool
-	// preparesWrite tells that the unit prepares or describes a write. It runs nothing, but must see
+	usesEarlierPortal bool
+	// preparesWrite is set if the unit prepares or describes a write. This changes nothing, but must see
 	// the tables that the write will see.
 	preparesWrite bool
-	// own tells that the listener added the unit, which opens no transaction block for the caller.
-	own      bool
+	// internal is set if the listener itself issues the unit. Its BEGIN opens no transaction block for
+	// the caller.
+	internal bool
 	messages []pgproto3.FrontendMessage
 	prepared map[string]*pgproto3.Parse
 }
 
-// run executes the unit and puts the answer, except ReadyForQuery, into a. It returns true if the
-// unit ran without an error of any kind.
+// run executes the unit and adds the answer, except ReadyForQuery, to a. It returns true if the unit
+// ran without any error.
 func (s *session) run(u *unit, a *answer) bool {
 	if s.srv.draining.Load() && s.tx == nil {
 		a.refused = true
@@ -37,7 +38,7 @@
 	}
 	req, err := s.request(u)
 	if err != nil {
-		s.failBlock()
+		s.failTransaction()
 		a.fail(err)
 		return false
 	}
@@ -61,13 +62,13 @@
 	w.stop()
 	s.srv.metrics.latency[req.Rank].RecordDuration(time.Since(begin))
 	if err != nil {
-		failure := failureOf(err, &attempt{req: req, info: &u.info, inTx: inTx, earlierPortal: u.earlierPortal,
+		failure := mapExecutorError(err, &failedRequest{req: req, info: &u.info, inTx: inTx, usesEarlierPortal: u.usesEarlierPortal,
 			canceled: r.canceled.Load(), expired: errors.Is(ctx.Err(), context.DeadlineExceeded)})
-		s.lost(u, inTx)
+		s.endTxAfterError(u, inTx)
 		a.fail(failure)
 		return false
 	}
-	s.ended(res)
+	s.updateTx(res)
 	a.finish()
 	if !res.Position.IsZero() {
 		s.pos = s.pos.Max(res.Position)
@@ -76,8 +77,8 @@
 	return !a.failed && res.Err == nil
 }
 
-// ended takes over the state after a unit that ran.
-func (s *session) ended(res core.Result) {
+// updateTx updates the transaction after a unit that ran.
+func (s *session) updateTx(res core.Result) {
 	if res.Status == core.TxIdle || res.Status == 0 {
 		s.tx, s.txStatus, s.implicit = nil, core.TxIdle, false
 		return
@@ -90,20 +91,20 @@
 	}
 }
 
-// lost ends the transaction after an executor's error. The caller's transaction block remains open
-// in the failed state, unless the unit was about to end it: a caller that has already sent the next
-// statement would otherwise run it outside of the transaction. The same holds after a BEGIN that
-// failed, if more was sent behind it.
-func (s *session) lost(u *unit, inTx bool) {
+// endTxAfterError ends the transaction after an executor's error. The caller's transaction block stays
+// open in the failed state, unless the unit was to end it: the next statement, which the caller may
+// already have sent, would otherwise run outside of the transaction. The same applies to a BEGIN that
+// failed if the caller has already sent more.
+func (s *session) endTxAfterError(u *unit, inTx bool) {
 	explicit := inTx && !s.implicit
 	s.endTx()
 	if u.info.Ends {
 		return
 	}
-	s.failed = explicit || !inTx && !u.own && u.info.Begins && s.rd.buffered() > 0
+	s.failed = explicit || !inTx && !u.internal && u.info.Begins && s.rd.buffered() > 0
 }
 
-// request builds the request of the unit from the state of the session and the kind's policy.
+// request builds the unit's request from the state of the session and the policy of the kind.
 func (s *session) request(u *unit) (*core.Request, error) {
 	kind := s.kind
 	if u.tags.Kind != "" {
@@ -125,7 +126,7 @@
 		Class:       u.info.Class,
 		Session:     s.name,
 		Position:    s.pos,
-		NeedIndex:   s.name != "" && !s.brought,
+		NeedIndex:   s.name != "" && !s.positionGiven,
 		AcceptedAge: policy.AcceptedAge,
 		Idempotent:  policy.Idempotent,
 		InTx:        s.tx != nil,
@@ -141,7 +142,7 @@
 		req.Class = core.ClassWrite
 		req.Idempotent = true
 	}
-	// Only the choice of an upstream for reads needs an index.
+	// The read index only serves to choose an upstream for a read.
 	if req.InTx || req.Class == core.ClassWrite || req.Class == core.ClassBegin {
 		req.NeedIndex = false
 	}
@@ -183,8 +184,8 @@
 	return nil
 }
 
-// policy returns the row of the kind. A kind that was removed from the table gets the row of the
-// default kind, but with current data and without repetition, which are safe for any kind.
+// policy returns the table's row for the kind. A kind that was removed from the table gets the row of
+// the default kind, but without old data and repetition, which aren't safe for every kind.
 func (s *Server) policy(kind core.Kind) core.KindPolicy {
 	if kind == "" {
 		kind = s.cfg.DefaultKind
--- a/io/front/watch.go
+++ b/io/front/watch.go
@@ -8,11 +8,11 @@
 )
 
 // watchDelay is how long a request runs before its caller's connection is watched. Most requests
-// end sooner and need no watcher.
+// end sooner and cost no watcher.
 const watchDelay = 50 * time.Millisecond
 
-// watcher cancels a request whose caller goes away, so that a queue or an upstream doesn't work for
-// nobody.
+// watcher cancels a request whose caller disconnects, so that the request doesn't occupy a queue or an
+// upstream any longer.
 type watcher struct {
 	s      *session
 	cancel context.CancelFunc
@@ -20,7 +20,7 @@
 	done   chan struct{}
 }
 
-// watch starts to watch the caller's connection after a delay. It returns nil if the connection
+// watch starts watching the caller's connection after watchDelay. It returns nil if the connection
 // can't be watched.
 func (s *session) watch(cancel context.CancelFunc) *watcher {
 	if s.sys == nil {
@@ -31,7 +31,7 @@
 	return w
 }
 
-// run waits until the caller closes its side or sends more.
+// run waits until the caller disconnects, in which case it cancels the request, or sends more.
 func (w *watcher) run() {
 	defer close(w.done)
 	gone := false
@@ -49,7 +49,7 @@
 	}
 }
 
-// stop ends the watcher. The session may read again afterwards.
+// stop ends the watcher. Afterwards the session may read from the connection again.
 func (w *watcher) stop() {
 	if w == nil || w.timer.Stop() {
 		return
