--- a/io/dbconn/alive.go
+++ b/io/dbconn/alive.go
@@ -5,14 +5,14 @@
 	"syscall"
 )
 
-// errorMessage is the type byte of ErrorResponse.
+// errorMessage is the type byte of an ErrorResponse.
 const errorMessage = 'E'
 
-// connected reports whether an idle connection is still open, without waiting. An ErrorResponse that
-// waits on an idle connection announces that the upstream has ended it; other messages, such as a
-// ParameterStatus after a reload of the upstream's settings, are harmless. Encrypted data can't be
-// told apart and counts as harmless. Connections that don't belong to the system count as open.
-func connected(c net.Conn, encrypted bool) bool {
+// isOpen reports, without blocking, whether an idle connection is still open. A pending ErrorResponse
+// means that the upstream has closed the connection; other pending messages, such as a ParameterStatus
+// after the upstream reloaded its settings, are harmless. The type of encrypted messages is unknown, so
+// they count as harmless. Connections without a file descriptor count as open.
+func isOpen(c net.Conn, encrypted bool) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/io/dbconn/answer.go
+++ b/io/dbconn/answer.go
@@ -9,28 +9,30 @@
 	"snipewall/core"
 )
 
-// SQLSTATEs that tell that a prepared statement can't be used any longer.
+// SQLSTATEs that report that a prepared statement can't be used any longer.
 const (
 	stateNoStatement = "26000"
 	statePlanChanged = "0A000"
 )
 
-// answer reads the answer to a plan and passes on what belongs to the request.
+// answer processes the upstream's answer to a plan and forwards the part that answers the request.
 type answer struct {
 	c *Conn
 	w core.ResponseWriter
-	// steps are the expected answers that haven't come yet.
-	steps  []step
+	// steps holds the steps of the plan whose answers haven't arrived yet.
+	steps []step
+	// names holds the statements that the request refers to.
 	names  []string
 	result core.Result
-	// ownErr is the first error of a step of the record.
-	ownErr *pgproto3.ErrorResponse
-	// commitFailed tells that ownErr answers the COMMIT at the end of the plan.
+	// recordErr is the first error of a step that records the request id; nil if there is none.
+	recordErr *pgproto3.ErrorResponse
+	// commitFailed is set if recordErr is the answer to the COMMIT at the end of the plan.
 	commitFailed bool
-	// holdBack keeps a CommandComplete until the commit after it is known to have succeeded.
-	holdBack bool
-	held     bool
-	complete pgproto3.CommandComplete
+	// holdBack is set if each CommandComplete must be kept until the next message, since the commit after
+	// the last one may fail. held is set while heldComplete is kept.
+	holdBack     bool
+	held         bool
+	heldComplete pgproto3.CommandComplete
 }
 
 func (a *answer) start(req *core.Request, w core.ResponseWriter, p *plan) {
@@ -38,18 +40,18 @@
 	a.steps = p.steps
 	a.names = p.names
 	a.result = core.Result{Upstream: a.c.id}
-	a.ownErr = nil
+	a.recordErr = nil
 	a.commitFailed = false
 	a.holdBack = req.Class == core.ClassWrite && !req.InTx
 	a.held = false
 }
 
-// done reports whether the last ReadyForQuery has come.
+// done reports whether the last ReadyForQuery has arrived.
 func (a *answer) done() bool { return len(a.steps) == 0 }
 
-// handle takes the next message of the upstream.
+// handle processes the next message of the upstream.
 func (a *answer) handle(msg pgproto3.BackendMessage) error {
-	if err := a.makeUp(); err != nil {
+	if err := a.answerOmitted(); err != nil {
 		return err
 	}
 	switch msg := msg.(type) {
@@ -62,31 +64,31 @@
 	case *pgproto3.NotificationResponse:
 		return nil
 	case *pgproto3.NoticeResponse:
-		return a.pass(msg)
+		return a.forward(msg)
 	case *pgproto3.CopyInResponse, *pgproto3.CopyBothResponse:
 		return errors.New("COPY FROM STDIN is not supported")
 	}
 	kind, ends := endOf(msg)
 	if !ends || a.head().kind == stepQuery {
-		return a.pass(msg)
+		return a.forward(msg)
 	}
 	s := a.head()
 	if s.kind != kind {
 		return fmt.Errorf("message %T doesn't belong to the request", msg)
 	}
 	if kind == stepParse {
-		a.c.remember(s.name)
+		a.c.markPrepared(s.name)
 	}
-	if err := a.pass(msg); err != nil {
+	if err := a.forward(msg); err != nil {
 		return err
 	}
 	a.steps = a.steps[1:]
-	return a.makeUp()
+	return a.answerOmitted()
 }
 
 func (a *answer) head() step { return a.steps[0] }
 
-// endOf returns which kind of step the message ends, if any.
+// endOf returns the kind of step whose answer the message ends, if any.
 func endOf(msg pgproto3.BackendMessage) (stepKind, bool) {
 	switch msg.(type) {
 	case *pgproto3.ParseComplete:
@@ -103,14 +105,14 @@
 	return 0, false
 }
 
-// makeUp answers messages that were not sent.
-func (a *answer) makeUp() error {
+// answerOmitted answers the next steps whose messages were not sent.
+func (a *answer) answerOmitted() error {
 	for len(a.steps) > 0 && a.steps[0].omitted {
 		var msg pgproto3.BackendMessage = parseComplete
 		if a.steps[0].kind == stepClose {
 			msg = closeComplete
 		}
-		if err := a.pass(msg); err != nil {
+		if err := a.forward(msg); err != nil {
 			return err
 		}
 		a.steps = a.steps[1:]
@@ -123,23 +125,23 @@
 	closeComplete = &pgproto3.CloseComplete{}
 )
 
-// pass hands a message to the caller unless it answers a message that the adapter added.
-func (a *answer) pass(msg pgproto3.BackendMessage) error {
-	if a.head().own || a.ownErr != nil {
+// forward sends a message to the caller unless it answers a message that the adapter added.
+func (a *answer) forward(msg pgproto3.BackendMessage) error {
+	if a.head().internal || a.recordErr != nil {
 		return nil
 	}
 	if err := a.release(); err != nil {
 		return err
 	}
 	if cc, ok := msg.(*pgproto3.CommandComplete); ok && a.holdBack {
-		a.complete.CommandTag = append(a.complete.CommandTag[:0], cc.CommandTag...)
+		a.heldComplete.CommandTag = append(a.heldComplete.CommandTag[:0], cc.CommandTag...)
 		a.held = true
 		return nil
 	}
 	return a.send(msg)
 }
 
-// send hands a message to the caller.
+// send sends a message to the caller.
 func (a *answer) send(msg pgproto3.BackendMessage) error {
 	if err := a.w.Send(msg); err != nil {
 		return core.ErrCaller.Wrap(err)
@@ -147,19 +149,19 @@
 	return nil
 }
 
-// release passes on the CommandComplete that was held back.
+// release sends the CommandComplete that was held back, if any.
 func (a *answer) release() error {
 	if !a.held {
 		return nil
 	}
 	a.held = false
-	return a.send(&a.complete)
+	return a.send(&a.heldComplete)
 }
 
-// parameter takes the commit position. Other parameters are passed on.
+// parameter takes the commit position from a ParameterStatus, and forwards other parameters.
 func (a *answer) parameter(msg *pgproto3.ParameterStatus) error {
 	if msg.Name != commitParameter {
-		return a.pass(msg)
+		return a.forward(msg)
 	}
 	pos, err := core.ParsePosition(msg.Value)
 	if err != nil {
@@ -169,7 +171,7 @@
 	return nil
 }
 
-// fail takes an error. The upstream then skips everything up to the next ReadyForQuery.
+// fail handles an error, after which the upstream skips everything up to the next ReadyForQuery.
 func (a *answer) fail(msg *pgproto3.ErrorResponse) error {
 	if msg.SeverityUnlocalized == "FATAL" || msg.SeverityUnlocalized == "PANIC" || msg.Severity == "FATAL" {
 		return fmt.Errorf("connection ended: %s (SQLSTATE %s)", msg.Message, msg.Code)
@@ -178,21 +180,21 @@
 	a.skipToEnd()
 	if msg.Code == stateNoStatement || msg.Code == statePlanChanged {
 		for _, name := range a.names {
-			a.c.forget(name)
+			a.c.scheduleClose(name)
 		}
 	}
 	if s.record {
-		if a.ownErr == nil && a.result.Err == nil {
-			a.ownErr = copyError(msg)
+		if a.recordErr == nil && a.result.Err == nil {
+			a.recordErr = copyError(msg)
 			a.commitFailed = s.kind == stepQuery && len(a.steps) == 1
 		}
 		return nil
 	}
-	if a.ownErr != nil {
+	if a.recordErr != nil {
 		return nil
 	}
 	if s.kind == stepSync {
-		// The commit at the end of the request failed, so that its CommandComplete is void.
+		// The implicit commit at Sync failed, so the CommandComplete before it must not reach the caller.
 		a.held = false
 	}
 	a.result.Err = &core.SQLError{State: msg.Code, Message: msg.Message}
@@ -202,7 +204,7 @@
 	return a.send(msg)
 }
 
-// skipToEnd drops the steps before the next ReadyForQuery.
+// skipToEnd drops the steps that the upstream skips before the next ReadyForQuery.
 func (a *answer) skipToEnd() {
 	for a.head().kind != stepSync && a.head().kind != stepQuery {
 		a.steps = a.steps[1:]
@@ -216,7 +218,7 @@
 	}
 	a.steps = a.steps[1:]
 	a.result.Status = core.TxStatus(msg.TxStatus)
-	if len(a.steps) > 0 || a.ownErr != nil {
+	if len(a.steps) > 0 || a.recordErr != nil {
 		return nil
 	}
 	return a.release()
--- a/io/dbconn/bench_test.go
+++ b/io/dbconn/bench_test.go
@@ -14,7 +14,7 @@
 )
 
 // BenchmarkRun measures one request on a connection over loopback, against the simulator and
-// against an upstream that repeats the same bytes, which shows the adapter's own cost.
+// against a server that always sends the same bytes, which shows the cost of the adapter alone.
 func BenchmarkRun(b *testing.B) {
 	tests := []struct {
 		name string
@@ -35,16 +35,16 @@
 			if tt.req == pingRequest {
 				b.Skip("the answer has no rows")
 			}
-			up := canned(b, len(tt.req.Messages))
+			up := serveCanned(b, len(tt.req.Messages))
 			c := dial(b.Context(), b, up)
-			c.(*Conn).remember("get")
+			c.(*Conn).markPrepared("get")
 			repeat(b, c, tt.req)
 		})
 	}
 }
 
 func repeat(b *testing.B, c core.Conn, req *core.Request) {
-	ctx, cancel := context.WithTimeout(b.Context(), testTime)
+	ctx, cancel := context.WithTimeout(b.Context(), testTimeout)
 	defer cancel()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -53,8 +53,8 @@
 	}
 }
 
-// canned serves connections that answer each read with the same row.
-func canned(b *testing.B, messages int) *Upstream {
+// serveCanned runs a server that answers each read on a connection with the same row.
+func serveCanned(b *testing.B, messages int) *Upstream {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
 	b.Cleanup(func() { _ = lis.Close() })
@@ -112,8 +112,8 @@
 	return n, err
 }
 
-// BenchmarkStatus measures a poll of an upstream's status: its time, with the simulator in the same
-// process, and the bytes of both directions without TCP's headers.
+// BenchmarkStatus measures a call of Status: its time, which includes the simulator in the same process,
+// and the bytes of both directions without TCP headers.
 func BenchmarkStatus(b *testing.B) {
 	_, up := start(b, dbsim.Config{}, dbsim.NewPrimary(1))
 	var bytes atomic.Int64
--- a/io/dbconn/cancel.go
+++ b/io/dbconn/cancel.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// cancelTime limits a cancel request.
-	cancelTime = time.Second
-	// cancelLimit is the number of cancel requests that are on the way to one upstream at once. Beyond
-	// it, statements run to their end.
-	cancelLimit = 8
+	// cancelTimeout limits a cancel request.
+	cancelTimeout = time.Second
+	// maxCancels limits the concurrent cancel requests to one upstream. Above the limit, statements
+	// aren't canceled and run to their end.
+	maxCancels = 8
 )
 
-// disconnected reports whether the upstream ended the connection, so that nothing is left to cancel.
-func disconnected(err error) bool {
+// isDisconnected reports whether the upstream has closed the connection, so that nothing is left to
+// cancel.
+func isDisconnected(err error) bool {
 	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// cancel asks the upstream to stop the statement of a connection that was given up. Closing the
-// connection alone leaves the statement running, and it would go on to occupy a slot.
+// cancel asks the upstream to cancel the statement that runs on a connection which is about to be
+// closed. Closing the connection doesn't end the statement, which would go on occupying a slot.
 func (u *Upstream) cancel(pc *pgconn.PgConn) {
 	select {
 	case u.cancels <- struct{}{}:
@@ -33,19 +34,19 @@
 	}
 	go func() {
 		defer func() { <-u.cancels }()
-		ctx, stop := context.WithTimeout(context.Background(), cancelTime)
+		ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 		defer stop()
-		// The statement ends sooner or later without it, so that an error needs no handling.
+		// An error needs no handling, since the statement eventually ends without the cancel request.
 		_ = pc.CancelRequest(ctx)
 	}()
 }
 
-// awaitCancels waits for the end of the cancel requests on the way.
+// awaitCancels waits for the cancel requests in progress.
 func (u *Upstream) awaitCancels() {
-	for range cancelLimit {
+	for range maxCancels {
 		u.cancels <- struct{}{}
 	}
-	for range cancelLimit {
+	for range maxCancels {
 		<-u.cancels
 	}
 }
--- a/io/dbconn/config.go
+++ b/io/dbconn/config.go
@@ -12,7 +12,7 @@
 	"snipewall/core"
 )
 
-// ControlName is the application_name of control connections. Upstreams reserve connections for it.
+// ControlName is the application_name of control connections, for which upstreams reserve connections.
 const ControlName = "snipewall-control"
 
 // dataName is the application_name of connections for requests.
@@ -27,7 +27,7 @@
 	defaultMaxMessage     = 64 << 20
 )
 
-// Config describes how to reach an upstream.
+// Config configures the connections to an upstream.
 type Config struct {
 	Info core.UpstreamInfo
 	// User is the database user; empty means "snipewall".
@@ -35,22 +35,22 @@
 	Password string
 	// Database is the database name; empty means the name of the group.
 	Database string
-	// TLS, if set, is required of the upstream.
+	// TLS, if set, is used for all connections; an upstream without TLS is refused.
 	TLS *tls.Config
 	// Dial opens network connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// ControlTimeout limits a control call whose context has no deadline; 0 means 1 s.
+	// ControlTimeout limits control calls whose context has no deadline; 0 means 1 s.
 	ControlTimeout time.Duration
-	// RequestTimeout limits a request if neither its context nor the request has a deadline; 0 means
-	// 30 s.
+	// RequestTimeout limits requests without a deadline in the context or the request, and Dial without
+	// a deadline in the context; 0 means 30 s.
 	RequestTimeout time.Duration
-	// MaxPrepared limits the statements that a connection keeps prepared; 0 means 256.
+	// MaxPrepared limits the prepared statements of one connection; 0 means 256.
 	MaxPrepared int
-	// MaxMessage limits a message of the upstream, for example a row, in bytes; 0 means 64 MiB.
+	// MaxMessage limits the size of a message from the upstream, such as a row, in bytes; 0 means 64 MiB.
 	MaxMessage int
 }
 
-// New checks the configuration. It opens no connection.
+// New checks the configuration and returns the upstream. It opens no connection.
 func (c Config) New() (*Upstream, error) {
 	c.setDefaults()
 	if c.Info.ID == "" {
@@ -64,12 +64,12 @@
 	if err != nil {
 		return nil, core.ErrSettings.New("upstream %s: port %q: %v", c.Info.ID, portText, err)
 	}
-	u := &Upstream{cfg: c, control: make(chan *Conn, 1), cancels: make(chan struct{}, cancelLimit)}
-	u.control <- nil
-	if u.data, err = c.connectConfig(host, uint16(port), dataName); err != nil {
+	u := &Upstream{cfg: c, controlConn: make(chan *Conn, 1), cancels: make(chan struct{}, maxCancels)}
+	u.controlConn <- nil
+	if u.dataConfig, err = c.connectConfig(host, uint16(port), dataName); err != nil {
 		return nil, err
 	}
-	if u.controls, err = c.connectConfig(host, uint16(port), ControlName); err != nil {
+	if u.controlConfig, err = c.connectConfig(host, uint16(port), ControlName); err != nil {
 		return nil, err
 	}
 	return u, nil
@@ -96,8 +96,8 @@
 	}
 }
 
-// connectConfig builds the settings for pgconn, which performs dialing, TLS and authentication.
-// All fields that pgconn might take from the environment are set here.
+// connectConfig builds the configuration of pgconn, which performs dialing, TLS and authentication.
+// It sets all fields that pgconn might otherwise take from the environment.
 func (c *Config) connectConfig(host string, port uint16, name string) (*pgconn.Config, error) {
 	cc, err := pgconn.ParseConfig("host=unused port=1 user=unused password=unused sslmode=disable")
 	if err != nil {
@@ -122,5 +122,6 @@
 	return cc, nil
 }
 
-// keepAlive makes the system notice idle connections whose other side has vanished.
+// keepAlive is the interval of TCP keep-alive probes, which detect idle connections whose other side is
+// gone.
 const keepAlive = 15 * time.Second
--- a/io/dbconn/conn.go
+++ b/io/dbconn/conn.go
@@ -20,27 +20,27 @@
 
 // Conn implements core.Conn. It is used by one goroutine at a time, except for Close.
 type Conn struct {
-	// statusNames are the columns of a status, once they are known.
+	// statusNames holds the column names of the status function's row; nil until the first answer.
 	statusNames []string
 	id          core.UpstreamID
 	cfg         *Config
 	conn        net.Conn
-	front       *pgproto3.Frontend
-	// origin performed the start-up; it knows how to cancel a statement.
-	origin *pgconn.PgConn
-	up     *Upstream
-	// broken tells that the connection must not be used again.
+	frontend    *pgproto3.Frontend
+	// pgConn performed the start-up and knows the key for cancel requests.
+	pgConn   *pgconn.PgConn
+	upstream *Upstream
+	// broken is set once the connection must not be used again.
 	broken bool
 	// lastUsed is when the last request ended.
 	lastUsed time.Time
 	status   core.TxStatus
-	// prepared holds the names of the statements that the upstream has on this connection.
+	// prepared holds the names of the statements that are prepared on this connection.
 	prepared map[string]struct{}
-	// closing holds the names of statements to be closed with the next extended request.
-	closing []string
+	// toClose holds the names of the statements to close with the next extended request.
+	toClose []string
 	plan    plan
 	answer  answer
-	// interrupt is the method value that wakes a blocked read or write.
+	// interrupt makes a blocked read or write return at once.
 	interrupt func()
 }
 
@@ -51,9 +51,9 @@
 		id:       u.cfg.Info.ID,
 		cfg:      &u.cfg,
 		conn:     hc.Conn,
-		front:    hc.Frontend,
-		origin:   pc,
-		up:       u,
+		frontend: hc.Frontend,
+		pgConn:   pc,
+		upstream: u,
 		lastUsed: time.Now(),
 		status:   core.TxIdle,
 		prepared: make(map[string]struct{}),
@@ -63,17 +63,17 @@
 	return c
 }
 
-// errUnusable says that the connection failed before; nothing was sent.
+// errUnusable reports that the connection had failed before the request; nothing was sent.
 var errUnusable = errors.New("connection is closed")
 
-// Run sends the request and passes the answer on, except ReadyForQuery and the commit position.
+// Run sends the request and forwards the answer to w, except ReadyForQuery and the commit position.
 //
-// A write with a request id records the id in its transaction, or in one of its own; a repeated id is
-// a *core.DuplicateError, after which the connection is still usable and an open transaction has
-// failed. After any other error it is closed. If req.Attempt is not marked then, nothing was sent. An error of w has the
-// class core.ErrCaller, all others core.ErrUpstream.
+// For a write with a request id, it records the id in the write's transaction, or in one of its own. A
+// repeated id is a *core.DuplicateError, after which the connection is still usable and an open
+// transaction has failed. After any other error the connection is closed; nothing was sent if
+// req.Attempt isn't marked. An error of w has the class core.ErrCaller, all others core.ErrUpstream.
 func (c *Conn) Run(ctx context.Context, req *core.Request, w core.ResponseWriter) (core.Result, error) {
-	if !c.usable() {
+	if !c.isUsable() {
 		return core.Result{}, c.fail(ctx, errUnusable)
 	}
 	if needsRecord(req) {
@@ -95,12 +95,12 @@
 		req.Attempt.MarkSent()
 	}
 	err = c.exchange(req, w)
-	if err != nil && !c.answer.done() && !disconnected(err) {
-		defer c.up.cancel(c.origin)
+	if err != nil && !c.answer.done() && !isDisconnected(err) {
+		defer c.upstream.cancel(c.pgConn)
 	}
 	if !stop() {
-		// The request was canceled, perhaps just after its end. The deadline may be set in the past
-		// at any moment from now on.
+		// ctx has ended, perhaps just after the answer. interrupt may run at any time from now on, so
+		// the connection can't be used again.
 		return core.Result{}, c.fail(ctx, ctx.Err())
 	}
 	if err != nil {
@@ -113,7 +113,7 @@
 // exchange writes the plan and reads the answer.
 func (c *Conn) exchange(req *core.Request, w core.ResponseWriter) error {
 	c.answer.start(req, w, &c.plan)
-	if len(c.plan.buf) > maxPlainWrite {
+	if len(c.plan.buf) > maxSequentialWrite {
 		return c.exchangeLarge()
 	}
 	if _, err := c.conn.Write(c.plan.buf); err != nil {
@@ -122,12 +122,12 @@
 	return c.read()
 }
 
-// maxPlainWrite is the size up to which a request fits into the buffers on the way, so that the
-// upstream takes it even while nobody reads its answer.
-const maxPlainWrite = 32 << 10
+// maxSequentialWrite is the size in bytes up to which a request fits into the buffers of the network, so
+// that the write completes even if the upstream waits for its answer to be read.
+const maxSequentialWrite = 32 << 10
 
-// exchangeLarge reads the answer while it writes. Otherwise both sides could wait for each other when
-// a long pipeline has long answers.
+// exchangeLarge reads the answer while it writes the plan. Otherwise both sides could block in a write
+// and deadlock when a long pipeline has long answers.
 func (c *Conn) exchangeLarge() error {
 	written := make(chan struct{})
 	var writeErr error
@@ -137,7 +137,7 @@
 	}()
 	err := c.read()
 	if err != nil {
-		// Closing ends the write.
+		// Closing the connection ends the write.
 		_ = c.conn.Close()
 	}
 	<-written
@@ -150,7 +150,7 @@
 // read reads the answer to the plan.
 func (c *Conn) read() error {
 	for !c.answer.done() {
-		msg, err := c.front.Receive()
+		msg, err := c.frontend.Receive()
 		if err != nil {
 			return err
 		}
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// watch sets the deadline of all reads and writes and makes the end of ctx interrupt them. The
-// returned function ends that; it returns false if ctx ended before.
+// watch sets the deadline of all reads and writes, and interrupts them when ctx ends. The returned
+// function stops that; it returns false if ctx has ended before.
 func (c *Conn) watch(ctx context.Context, req *core.Request) (stop func() bool, err error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -186,7 +186,7 @@
 
 func alwaysStopped() bool { return true }
 
-// fail closes the connection and describes the error.
+// fail closes the connection and returns the error with its class and the upstream's id.
 func (c *Conn) fail(ctx context.Context, err error) error {
 	c.broken = true
 	_ = c.conn.Close()
@@ -194,7 +194,7 @@
 		return err
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
-		// The connection's deadline is the context's or the request's and may be noticed first.
+		// The connection's deadline comes from ctx or the request, and may expire before ctx reports it.
 		err = fmt.Errorf("%w: %w", context.DeadlineExceeded, err)
 	}
 	if ctxErr := ctx.Err(); ctxErr != nil && !errors.Is(err, ctxErr) {
@@ -203,7 +203,7 @@
 	return core.ErrUpstream.New("upstream %s: %w", c.id, err)
 }
 
-// Ping checks that the connection still answers. It needs no slot on the upstream.
+// Ping checks that the upstream still answers on the connection. It needs no slot on the upstream.
 func (c *Conn) Ping(ctx context.Context) error {
 	_, err := c.Run(ctx, pingRequest, discard{})
 	return err
@@ -211,7 +211,7 @@
 
 var pingRequest = &core.Request{Messages: []pgproto3.FrontendMessage{&pgproto3.Sync{}}}
 
-// discard drops an answer.
+// discard is a core.ResponseWriter that drops all messages.
 type discard struct{}
 
 // Send implements core.ResponseWriter.
@@ -220,17 +220,17 @@
 // Close ends the connection. The upstream rolls back an open transaction.
 func (c *Conn) Close() error { return c.conn.Close() }
 
-// idleCheck is the idle time after which a connection is checked before its next use. An upstream
-// that restarted in the meantime is then noticed before the request is marked as sent.
-const idleCheck = 10 * time.Millisecond
+// idleCheckAfter is the idle time after which a connection is checked before its next use, so that a
+// restart of the upstream is detected before the request is marked as sent.
+const idleCheckAfter = 10 * time.Millisecond
 
-// usable reports whether the connection can take a request, as far as that is known without
-// sending anything.
-func (c *Conn) usable() bool {
+// isUsable reports whether the connection can run a request, as far as that is known without sending
+// anything.
+func (c *Conn) isUsable() bool {
 	if c.broken {
 		return false
 	}
-	if time.Since(c.lastUsed) < idleCheck {
+	if time.Since(c.lastUsed) < idleCheckAfter {
 		return true
 	}
 	nc := c.conn
@@ -239,5 +239,5 @@
 		nc = t.NetConn()
 		encrypted = true
 	}
-	return connected(nc, encrypted)
+	return isOpen(nc, encrypted)
 }
--- a/io/dbconn/dbconn_test.go
+++ b/io/dbconn/dbconn_test.go
@@ -16,10 +16,10 @@
 	"snipewall/stand/dbsim"
 )
 
-// testTime limits each scenario.
-const testTime = 20 * time.Second
+// testTimeout limits each test.
+const testTimeout = 20 * time.Second
 
-// start serves a database on loopback until the test ends.
+// start runs a simulated database on loopback until the test ends.
 func start(t testing.TB, cfg dbsim.Config, db *dbsim.Database) (*dbsim.Server, *Upstream) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,7 +45,7 @@
 }
 
 func testContext(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), testTime)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -58,7 +58,7 @@
 	return c
 }
 
-// recorder writes down an answer, one word per message.
+// recorder records an answer, one word per message.
 type recorder struct {
 	words []string
 }
@@ -114,7 +114,7 @@
 	return res, rec.String()
 }
 
-// Guards against control calls that misread the upstream's answer.
+// Guards against control calls that misinterpret the upstream's answer.
 func TestControl(t *testing.T) {
 	ctx := testContext(t)
 	_, up := start(t, dbsim.Config{}, dbsim.NewPrimary(1))
@@ -138,7 +138,7 @@
 	assert.Equal(t, s.Heard, time.Duration(-1))
 }
 
-// Guards against requests whose answer or commit position gets lost.
+// Guards against lost answers or commit positions in both forms of the protocol.
 func TestRunSimpleAndExtended(t *testing.T) {
 	ctx := testContext(t)
 	_, up := start(t, dbsim.Config{}, dbsim.NewPrimary(1))
@@ -159,7 +159,7 @@
 	assert.NilError(t, c.Ping(ctx))
 }
 
-// Guards against a request id that lets its write run twice.
+// Guards against a write that runs twice although both requests have the same id.
 func TestRequestIDRunsOnce(t *testing.T) {
 	ctx := testContext(t)
 	_, up := start(t, dbsim.Config{}, dbsim.NewPrimary(1))
@@ -186,8 +186,8 @@
 	assert.Equal(t, answer, "RowDescription | (10) | SELECT 1")
 }
 
-// Guards against a transaction that runs twice when its caller repeats it with its request id, and
-// against a record that outlives a transaction that was rolled back.
+// Guards against a transaction that runs twice when its caller repeats it with the same request id, and
+// against a recorded id that remains although its transaction was rolled back.
 func TestRequestIDInTransaction(t *testing.T) {
 	ctx := testContext(t)
 	_, up := start(t, dbsim.Config{}, dbsim.NewPrimary(1))
@@ -223,7 +223,7 @@
 	assert.Equal(t, answer, "RowDescription | (10) | SELECT 1")
 }
 
-// Guards against a connection limit that is taken for a broken upstream.
+// Guards against treating an upstream at its connection limit as one that has failed.
 func TestConnectionLimit(t *testing.T) {
 	ctx := testContext(t)
 	srv, up := start(t, dbsim.Config{Connections: 2}, dbsim.NewPrimary(1))
--- a/io/dbconn/doc.go
+++ b/io/dbconn/doc.go
@@ -1,13 +1,13 @@
-// Package dbconn connects to upstreams over the PostgreSQL protocol. It implements core.Upstream
-// and core.Conn, and it is the only package that knows how an upstream answers control functions,
-// reports commit positions and refuses connections.
+// Package dbconn is the adapter to upstreams over the PostgreSQL protocol. It implements core.Upstream
+// and core.Conn. No other package depends on how an upstream answers control functions, reports commit
+// positions and refuses connections.
 //
 // A connection serves one request at a time and is never used again after a request on it failed,
 // timed out or was canceled, so that a late answer can't reach another request.
 //
-// Statement names in a request depend on the SQL text only. A connection remembers which of them it
-// has prepared, adds the Parse messages that it lacks and leaves out those that it doesn't need;
-// the answer looks as if it had received the request as it is.
+// Statement names in a request depend on the SQL text and the parameter types only. A connection keeps
+// track of the statements that are prepared on it, adds the Parse messages that are missing and omits
+// those that aren't needed. The answer looks as if the request had been sent unchanged.
 //
 // # Usage
 //
--- a/io/dbconn/fault_test.go
+++ b/io/dbconn/fault_test.go
@@ -24,11 +24,11 @@
 	"snipewall/stand/memnet"
 )
 
-// host is where the upstream of a simulated scenario listens.
+// host is the address of the upstream in simulated tests.
 const host = "berth-1:5432"
 
-// simulated runs a scenario on the fake clock against one upstream in memory.
-func simulated(t *testing.T, cfg dbsim.Config, scenario func(ctx context.Context, n *memnet.Network, srv *dbsim.Server, up *Upstream)) {
+// runSimulated runs a test on the fake clock against one upstream on an in-memory network.
+func runSimulated(t *testing.T, cfg dbsim.Config, scenario func(ctx context.Context, n *memnet.Network, srv *dbsim.Server, up *Upstream)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -41,7 +41,8 @@
 		go func() { done <- srv.Serve(ctx, lis) }()
 		up, err := Config{Info: core.UpstreamInfo{ID: "berth-1", Group: "berth-ledger", Address: host}, Dial: n.Dialer("entry-1")}.New()
 		assert.NilError(t, err)
-		// Deferred, so that a failed assertion isn't hidden by a deadlock of the fake clock.
+		// This is deferred because a failed assertion would otherwise deadlock the fake clock, which
+		// hides the failure.
 		defer func() {
 			_ = up.Close()
 			cancel()
@@ -51,8 +52,8 @@
 	})
 }
 
-// within runs a request with a time limit.
-func within(ctx context.Context, d time.Duration, c core.Conn, req *core.Request) (string, error) {
+// runWithTimeout runs a request with a timeout and returns its answer.
+func runWithTimeout(ctx context.Context, d time.Duration, c core.Conn, req *core.Request) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
 	var rec recorder
@@ -60,15 +61,15 @@
 	return rec.String(), err
 }
 
-// Guards against a late answer that reaches the next request on the connection, against connections
-// that hang without a deadline, and against refusals that claim that nothing was sent.
+// Guards against a late answer that reaches the next request on the connection, against requests that
+// hang on a connection without an answer, and against errors that claim that nothing was sent.
 func TestUnansweredRequests(t *testing.T) {
 	const limit = 200 * time.Millisecond
 	tests := []struct {
 		name string
-		// fault is switched on once the connection is open.
+		// fault is set to value once the connection is open.
 		fault, value string
-		// deadline is set in the request instead of the context.
+		// deadline sets the deadline in the request instead of the context.
 		deadline bool
 		cancel   bool
 		want     error
@@ -83,7 +84,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			simulated(t, dbsim.Config{}, func(ctx context.Context, _ *memnet.Network, srv *dbsim.Server, up *Upstream) {
+			runSimulated(t, dbsim.Config{}, func(ctx context.Context, _ *memnet.Network, srv *dbsim.Server, up *Upstream) {
 				c, err := up.Dial(ctx)
 				assert.NilError(t, err)
 				assert.NilError(t, srv.Fault(tt.fault, tt.value))
@@ -109,13 +110,13 @@
 				assert.Assert(t, req.Attempt.IsSent())
 				time.Sleep(2 * time.Second)
 				next := simple(core.ClassRead, "SELECT 1")
-				_, err = within(ctx, limit, c, next)
+				_, err = runWithTimeout(ctx, limit, c, next)
 				assert.ErrorIs(t, err, errUnusable)
 				assert.Assert(t, !next.Attempt.IsSent())
 				assert.NilError(t, srv.Fault(dbsim.FaultLate, "off"))
 				fresh, err := up.Dial(ctx)
 				assert.NilError(t, err)
-				answer, err := within(ctx, limit, fresh, next)
+				answer, err := runWithTimeout(ctx, limit, fresh, next)
 				assert.NilError(t, err)
 				assert.Equal(t, answer, "RowDescription | (1) | SELECT 1")
 			})
@@ -123,9 +124,10 @@
 	}
 }
 
-// Guards against control calls that hang on a silent connection, or that never recover.
+// Guards against control calls that hang on a connection without answers, or that don't recover after a
+// fault.
 func TestControlRecovers(t *testing.T) {
-	simulated(t, dbsim.Config{}, func(ctx context.Context, n *memnet.Network, srv *dbsim.Server, up *Upstream) {
+	runSimulated(t, dbsim.Config{}, func(ctx context.Context, n *memnet.Network, srv *dbsim.Server, up *Upstream) {
 		status := func() error {
 			ctx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 			defer cancel()
@@ -163,22 +165,23 @@
 	})
 }
 
-// Guards against a statement of a request that was given up and goes on to occupy a slot.
-func TestGivenUpStatementIsCanceled(t *testing.T) {
-	simulated(t, dbsim.Config{Slots: 1}, func(ctx context.Context, _ *memnet.Network, _ *dbsim.Server, up *Upstream) {
+// Guards against a statement that goes on occupying a slot after its request has timed out.
+func TestTimedOutStatementIsCanceled(t *testing.T) {
+	runSimulated(t, dbsim.Config{Slots: 1}, func(ctx context.Context, _ *memnet.Network, _ *dbsim.Server, up *Upstream) {
 		c, err := up.Dial(ctx)
 		assert.NilError(t, err)
-		_, err = within(ctx, 50*time.Millisecond, c, simple(core.ClassRead, "SELECT pg_sleep(10)"))
+		_, err = runWithTimeout(ctx, 50*time.Millisecond, c, simple(core.ClassRead, "SELECT pg_sleep(10)"))
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		next, err := up.Dial(ctx)
 		assert.NilError(t, err)
-		_, err = within(ctx, 50*time.Millisecond, next, simple(core.ClassRead, "SELECT 1"))
+		_, err = runWithTimeout(ctx, 50*time.Millisecond, next, simple(core.ClassRead, "SELECT 1"))
 		assert.NilError(t, err)
 		assert.NilError(t, next.Close())
 	})
 }
 
-// Guards against a connection that died while idle and makes the next request's outcome unknown.
+// Guards against an unknown outcome of the first request after the upstream has closed an idle
+// connection.
 func TestRestartWhileIdle(t *testing.T) {
 	ctx := testContext(t)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -189,18 +192,18 @@
 	c := dial(ctx, t, newUpstream(t, lis.Addr().String()))
 	stop()
 	assert.NilError(t, <-done)
-	time.Sleep(2 * idleCheck)
+	time.Sleep(2 * idleCheckAfter)
 	req := simple(core.ClassWrite, "CREATE TABLE t (id int8)")
 	_, err = c.Run(ctx, req, &recorder{})
 	assert.ErrorIs(t, err, errUnusable)
 	assert.Assert(t, !req.Attempt.IsSent())
 }
 
-// Guards against an acknowledged write whose commit was refused.
+// Guards against acknowledging a write whose commit was refused.
 func TestRefusedCommit(t *testing.T) {
 	for _, id := range []core.RequestID{"", "r-1"} {
 		cfg := dbsim.Config{ServiceTime: 100 * time.Millisecond}
-		simulated(t, cfg, func(ctx context.Context, _ *memnet.Network, srv *dbsim.Server, up *Upstream) {
+		runSimulated(t, cfg, func(ctx context.Context, _ *memnet.Network, srv *dbsim.Server, up *Upstream) {
 			c, err := up.Dial(ctx)
 			assert.NilError(t, err)
 			run(ctx, t, c, simple(core.ClassWrite, "CREATE TABLE t (id int8); CREATE TABLE snipewall_requests (id text PRIMARY KEY)"))
@@ -219,7 +222,7 @@
 	}
 }
 
-// Guards against answers out of step with the request when Parse messages are added or left out.
+// Guards against answers that don't match the request when Parse messages are added or omitted.
 func TestPreparedStatements(t *testing.T) {
 	ctx := testContext(t)
 	_, up := start(t, dbsim.Config{}, dbsim.NewPrimary(1))
@@ -266,9 +269,9 @@
 	assert.Equal(t, answer, "BindComplete | (1) | SELECT 1", "a statement that the upstream lost is prepared again")
 }
 
-// Guards against long pipelines with long answers that make both sides wait for each other.
+// Guards against a deadlock in which both sides block in a write, when a long pipeline has long answers.
 func TestLongPipeline(t *testing.T) {
-	simulated(t, dbsim.Config{}, func(ctx context.Context, _ *memnet.Network, _ *dbsim.Server, up *Upstream) {
+	runSimulated(t, dbsim.Config{}, func(ctx context.Context, _ *memnet.Network, _ *dbsim.Server, up *Upstream) {
 		c, err := up.Dial(ctx)
 		assert.NilError(t, err)
 		const n = 1000
@@ -287,7 +290,7 @@
 	})
 }
 
-// Guards against requests that would leave both sides waiting.
+// Guards against sending requests that make both sides wait for each other, or that aren't supported.
 func TestIncompleteRequest(t *testing.T) {
 	ctx := testContext(t)
 	_, up := start(t, dbsim.Config{}, dbsim.NewPrimary(1))
@@ -301,10 +304,10 @@
 	}
 }
 
-// failing refuses all messages after the first.
-type failing struct{ sent int }
+// failingWriter returns an error for all messages after the first.
+type failingWriter struct{ sent int }
 
-func (f *failing) Send(pgproto3.BackendMessage) error {
+func (f *failingWriter) Send(pgproto3.BackendMessage) error {
 	f.sent++
 	if f.sent > 1 {
 		return errors.New("caller is gone")
@@ -312,19 +315,19 @@
 	return nil
 }
 
-// Guards against a caller that went away and is taken for a fault of the upstream, and against the
-// rest of its answer on the connection.
+// Guards against treating a caller that has disconnected as a fault of the upstream, and against reuse of
+// the connection, on which the rest of the answer is still to come.
 func TestCallerGone(t *testing.T) {
 	ctx := testContext(t)
 	_, up := start(t, dbsim.Config{}, dbsim.NewPrimary(1))
 	c := dial(ctx, t, up)
-	_, err := c.Run(ctx, simple(core.ClassRead, "SELECT 1"), &failing{})
+	_, err := c.Run(ctx, simple(core.ClassRead, "SELECT 1"), &failingWriter{})
 	assert.Assert(t, core.ErrCaller.Has(err) && !core.ErrUpstream.Has(err), "%v", err)
 	_, err = c.Run(ctx, simple(core.ClassRead, "SELECT 1"), &recorder{})
 	assert.ErrorIs(t, err, errUnusable)
 }
 
-// Guards against transactions whose status or end gets lost.
+// Guards against a wrong transaction status, and against a commit whose position gets lost.
 func TestTransaction(t *testing.T) {
 	ctx := testContext(t)
 	_, up := start(t, dbsim.Config{}, dbsim.NewPrimary(1))
@@ -352,7 +355,7 @@
 	}
 }
 
-// Guards against requests in clear text to upstreams that must be encrypted.
+// Guards against requests in clear text although TLS is configured.
 func TestTLS(t *testing.T) {
 	ctx := testContext(t)
 	cert, pool := certificate(t)
@@ -369,7 +372,7 @@
 			continue
 		}
 		assert.NilError(t, err)
-		time.Sleep(2 * idleCheck)
+		time.Sleep(2 * idleCheckAfter)
 		_, answer := run(ctx, t, c, simple(core.ClassRead, "SELECT 1"))
 		assert.Equal(t, answer, "RowDescription | (1) | SELECT 1")
 		assert.NilError(t, c.Close())
--- a/io/dbconn/fuzz_test.go
+++ b/io/dbconn/fuzz_test.go
@@ -12,7 +12,7 @@
 	"snipewall/core"
 )
 
-// Guards against answers that make the adapter panic, wait for ever or pass on ReadyForQuery.
+// Guards against answers that make the adapter panic, hang or forward a ReadyForQuery.
 func FuzzAnswer(f *testing.F) {
 	var seed []byte
 	for _, msg := range []pgproto3.BackendMessage{
@@ -27,14 +27,14 @@
 	}
 	f.Add(seed, true)
 	f.Add(seed, false)
-	f.Fuzz(func(t *testing.T, src []byte, once bool) {
-		c := &Conn{cfg: &Config{MaxPrepared: 1}, prepared: make(map[string]struct{}), front: pgproto3.NewFrontend(bytes.NewReader(src), nil)}
-		c.front.SetMaxBodyLen(1 << 16)
+	f.Fuzz(func(t *testing.T, src []byte, recorded bool) {
+		c := &Conn{cfg: &Config{MaxPrepared: 1}, prepared: make(map[string]struct{}), frontend: pgproto3.NewFrontend(bytes.NewReader(src), nil)}
+		c.frontend.SetMaxBodyLen(1 << 16)
 		c.answer.c = c
 		req := extended(core.ClassWrite, "get", "SELECT 1")
 		plan := c.plan.request
-		if once {
-			plan = c.plan.once
+		if recorded {
+			plan = c.plan.requestWithRecord
 		}
 		assert.NilError(t, plan(c, req))
 		var rec recorder
@@ -46,7 +46,7 @@
 	})
 }
 
-// Guards against a status row with missing or malformed columns that passes for a status.
+// Guards against accepting a status row with missing or malformed columns.
 func FuzzStatusRow(f *testing.F) {
 	f.Add("primary", "1", "2", "-1", "t", uint8(8))
 	f.Add("replica", "x", "2", "7", "f", uint8(3))
--- a/io/dbconn/once.go
+++ b/io/dbconn/once.go
@@ -8,21 +8,22 @@
 	"snipewall/core"
 )
 
-// The record of request ids is kept in the database, so that it commits with the write.
+// Request ids are recorded in a table of the database, so that an id commits together with its write.
+// The unique key of the table detects a repeated id.
 const (
 	recordStatement = "snipewall_record"
 	recordInsert    = "INSERT INTO snipewall_requests(id) VALUES ($1)"
 	recordCreate    = "CREATE TABLE IF NOT EXISTS snipewall_requests(id text PRIMARY KEY)"
 )
 
-// SQLSTATEs of the record.
+// SQLSTATEs of a failed insert into the table of request ids.
 const (
 	stateUnique  = "23505"
 	stateNoTable = "42P01"
 )
 
-// needsRecord reports whether the request's id has to be recorded with its write. A request that only
-// prepares a statement must not use up the id of the one that executes it.
+// needsRecord reports whether the request's id must be recorded. A request that only prepares a
+// statement must not record the id, since the request that executes the statement has the same one.
 func needsRecord(req *core.Request) bool {
 	if req.RequestID == "" || req.Class != core.ClassWrite {
 		return false
@@ -45,71 +46,71 @@
 	syncMessage   = &pgproto3.Sync{}
 )
 
-// once plans BEGIN, the record of the request id, the request and COMMIT. If the record fails, the
-// upstream runs no part of the request: an extended request is skipped up to its Sync, a simple
-// query meets a failed transaction. COMMIT then rolls back.
+// requestWithRecord plans BEGIN, the insert of the request id, the request and COMMIT. If the insert
+// fails, the upstream runs no part of the request: it skips an extended request up to its Sync, and
+// refuses a simple query because the transaction has failed. COMMIT then rolls back.
 //
-// In an open transaction the record is part of it, and the transaction fails with the record. The
-// table of the records is created first unless it is known, since the transaction can't be repeated.
-func (p *plan) once(c *Conn, req *core.Request) error {
+// In an open transaction, the insert is part of that transaction, which fails if the insert fails. The
+// table is then created first unless it is known to exist, since the transaction can't be repeated.
+func (p *plan) requestWithRecord(c *Conn, req *core.Request) error {
 	p.reset()
 	if !req.InTx {
-		p.send(beginQuery, step{kind: stepQuery, own: true, record: true})
-	} else if !c.up.recorded.Load() {
-		p.send(createQuery, step{kind: stepQuery, own: true, record: true})
+		p.send(beginQuery, step{kind: stepQuery, internal: true, record: true})
+	} else if !c.upstream.hasRecordTable.Load() {
+		p.send(createQuery, step{kind: stepQuery, internal: true, record: true})
 	}
 	p.closeStatements(c)
-	if c.has(recordStatement) {
+	if c.hasStatement(recordStatement) {
 		p.names = append(p.names, recordStatement)
 	} else {
-		p.parse(c, recordParse, step{own: true, record: true})
+		p.parse(c, recordParse, step{internal: true, record: true})
 	}
 	bind := pgproto3.Bind{PreparedStatement: recordStatement, Parameters: [][]byte{[]byte(req.RequestID)}}
-	p.send(&bind, step{kind: stepBind, own: true, record: true})
-	p.send(recordExecute, step{kind: stepExecute, own: true, record: true})
+	p.send(&bind, step{kind: stepBind, internal: true, record: true})
+	p.send(recordExecute, step{kind: stepExecute, internal: true, record: true})
 	if len(req.Messages) == 1 {
-		p.send(syncMessage, step{kind: stepSync, own: true, record: true})
+		p.send(syncMessage, step{kind: stepSync, internal: true, record: true})
 	}
 	p.messages(c, req)
 	if !req.InTx {
-		p.send(commitQuery, step{kind: stepQuery, own: true, record: true})
+		p.send(commitQuery, step{kind: stepQuery, internal: true, record: true})
 	}
 	return p.err
 }
 
-// runOnce runs a write whose request id must be recorded. The table of the records is created when
-// an upstream turns out to lack it.
+// runOnce runs a write whose request id must be recorded. If the upstream lacks the table of request
+// ids, it creates the table and runs the write again.
 func (c *Conn) runOnce(ctx context.Context, req *core.Request, w core.ResponseWriter) (core.Result, error) {
 	res, err := c.attemptOnce(ctx, req, w)
 	if err != nil {
 		return res, err
 	}
-	failure := c.answer.ownErr
+	failure := c.answer.recordErr
 	if failure != nil && failure.Code == stateNoTable && !c.answer.commitFailed && !req.InTx {
 		if req.Attempt != nil {
 			req.Attempt.ConfirmNotRun()
 		}
-		if failure, err = c.createRecords(ctx, req); err != nil {
+		if failure, err = c.createRecordTable(ctx, req); err != nil {
 			return core.Result{}, err
 		}
 		if failure == nil {
 			if res, err = c.attemptOnce(ctx, req, w); err != nil {
 				return res, err
 			}
-			failure = c.answer.ownErr
+			failure = c.answer.recordErr
 		}
 	}
 	if failure == nil {
-		// A table that an open transaction created may still be rolled back.
+		// An open transaction may still roll back the creation of the table.
 		if !req.InTx {
-			c.up.recorded.Store(true)
+			c.upstream.hasRecordTable.Store(true)
 		}
 		return res, nil
 	}
 	if failure.Code == stateUnique && !c.answer.commitFailed {
 		return res, &core.DuplicateError{ID: req.RequestID}
 	}
-	// The record or the commit failed: the request had no effect, and the error is its answer.
+	// The insert or the commit failed, so the request had no effect. The error is its answer.
 	res.Err = &core.SQLError{State: failure.Code, Message: failure.Message}
 	if err := w.Send(failure); err != nil {
 		return core.Result{}, c.fail(ctx, core.ErrCaller.Wrap(err))
@@ -117,24 +118,24 @@
 	return res, nil
 }
 
-// attemptOnce runs the request with its record.
+// attemptOnce runs the request and records its id.
 func (c *Conn) attemptOnce(ctx context.Context, req *core.Request, w core.ResponseWriter) (core.Result, error) {
-	if err := c.plan.once(c, req); err != nil {
+	if err := c.plan.requestWithRecord(c, req); err != nil {
 		return core.Result{}, c.fail(ctx, err)
 	}
 	return c.perform(ctx, req, w)
 }
 
-// createRecords creates the table of the records. It returns the upstream's refusal if the upstream
-// is a replica. Two connections may create the table at once, so that other errors count only if they
-// show up again when the record is inserted.
-func (c *Conn) createRecords(ctx context.Context, req *core.Request) (*pgproto3.ErrorResponse, error) {
+// createRecordTable creates the table of request ids. It returns the upstream's error if the upstream is
+// a replica. It ignores other errors, since two connections may create the table at the same time; the
+// next insert reports those that persist.
+func (c *Conn) createRecordTable(ctx context.Context, req *core.Request) (*pgproto3.ErrorResponse, error) {
 	create := &core.Request{
 		Class:    core.ClassWrite,
 		Deadline: req.Deadline,
 		Messages: []pgproto3.FrontendMessage{&pgproto3.Query{String: recordCreate}},
 	}
-	var e errorKeeper
+	var e errorCollector
 	_, err := c.Run(ctx, create, &e)
 	if err != nil || e.last == nil || e.last.Code != core.StateReadOnly {
 		return nil, err
@@ -142,13 +143,13 @@
 	return e.last, nil
 }
 
-// errorKeeper keeps the error of an answer.
-type errorKeeper struct {
+// errorCollector keeps the last error of an answer.
+type errorCollector struct {
 	last *pgproto3.ErrorResponse
 }
 
 // Send implements core.ResponseWriter.
-func (k *errorKeeper) Send(msg pgproto3.BackendMessage) error {
+func (k *errorCollector) Send(msg pgproto3.BackendMessage) error {
 	if e, ok := msg.(*pgproto3.ErrorResponse); ok {
 		k.last = copyError(e)
 	}
--- a/io/dbconn/once_test.go
+++ b/io/dbconn/once_test.go
@@ -13,7 +13,7 @@
 	"snipewall/stand/dbsim"
 )
 
-// Guards against a replica's refusal that is hidden by the missing table of the records.
+// Guards against reporting the missing table of request ids instead of the replica's refusal.
 func TestRequestIDOnReplica(t *testing.T) {
 	ctx := testContext(t)
 	_, up := start(t, dbsim.Config{}, dbsim.NewReplica(1, ""))
@@ -24,8 +24,8 @@
 	assert.Equal(t, res.Err.State, core.StateReadOnly)
 }
 
-// Guards against requests with the same id that run side by side, and against ids of failed writes
-// that block their repetition.
+// Guards against two concurrent requests with the same id that both run, and against the id of a failed
+// write that prevents its repetition.
 func TestRequestIDConcurrent(t *testing.T) {
 	ctx := testContext(t)
 	_, up := start(t, dbsim.Config{}, dbsim.NewPrimary(1))
@@ -70,7 +70,8 @@
 	}
 }
 
-// Guards against the record's statement being prepared twice after it was evicted.
+// Guards against preparing the statement that records request ids a second time after it was evicted,
+// while it is not yet closed on the upstream.
 func TestRecordStatementEvicted(t *testing.T) {
 	ctx := testContext(t)
 	_, up := start(t, dbsim.Config{}, dbsim.NewPrimary(1))
--- a/io/dbconn/plan.go
+++ b/io/dbconn/plan.go
@@ -9,7 +9,7 @@
 	"snipewall/core"
 )
 
-// stepKind tells which message ends the answer to a step.
+// stepKind is the kind of a step, which determines the message that ends its answer.
 type stepKind uint8
 
 const (
@@ -29,21 +29,21 @@
 	stepQuery
 )
 
-// step is a message whose answer is expected.
+// step is a message of a plan whose answer is expected.
 type step struct {
 	kind stepKind
-	// own tells that the adapter added the message, so that its answer isn't passed on.
-	own bool
-	// record tells that the step belongs to the record of a request id, so that its error isn't the
-	// request's either.
+	// internal is set if the adapter added the message, so that its answer isn't forwarded.
+	internal bool
+	// record is set if the step serves to record a request id, so that its error isn't an error of the
+	// request.
 	record bool
-	// omitted tells that the message was not sent and that its answer is made up.
+	// omitted is set if the message isn't sent and the adapter answers it itself.
 	omitted bool
-	// name is the statement that a stepParse prepares.
+	// name is the statement that a stepParse prepares; empty for other kinds.
 	name string
 }
 
-// plan is what is sent for a request, and which answers are expected.
+// plan holds the messages to send for a request and the answers to expect.
 type plan struct {
 	buf   []byte
 	steps []step
@@ -57,15 +57,16 @@
 	p.steps = p.steps[:0]
 	p.names = p.names[:0]
 	p.err = nil
-	if cap(p.buf) > maxKeptBuffer {
+	if cap(p.buf) > maxKeptBufferSize {
 		p.buf = nil
 	}
 }
 
-// maxKeptBuffer keeps a single large request from occupying memory for the connection's lifetime.
-const maxKeptBuffer = 64 << 10
+// maxKeptBufferSize is the largest buffer in bytes that is kept for the next request, so that a single
+// large request doesn't occupy memory for the connection's lifetime.
+const maxKeptBufferSize = 64 << 10
 
-// send adds a message and the step that its answer belongs to.
+// send adds a message and the step for its answer.
 func (p *plan) send(msg pgproto3.FrontendMessage, s step) {
 	p.encode(msg)
 	p.steps = append(p.steps, s)
@@ -83,7 +84,7 @@
 	p.buf = buf
 }
 
-// request plans a request as it is.
+// request plans a request that needs no record of its id.
 func (p *plan) request(c *Conn, req *core.Request) error {
 	p.reset()
 	if len(req.Messages) > 1 {
@@ -93,7 +94,7 @@
 	return p.err
 }
 
-// errIncomplete says that a request would leave the upstream waiting.
+// errIncomplete reports a request after which the upstream would wait for more messages.
 var errIncomplete = errors.New("request doesn't end with Query or Sync")
 
 // messages plans the messages of the request.
@@ -106,12 +107,12 @@
 	}
 }
 
-// closeStatements adds the pending Close messages. They belong to the extended protocol.
+// closeStatements adds the Close messages for c.toClose, which belong to the extended protocol.
 func (p *plan) closeStatements(c *Conn) {
-	for _, name := range c.closing {
-		p.send(&pgproto3.Close{ObjectType: 'S', Name: name}, step{kind: stepClose, own: true})
+	for _, name := range c.toClose {
+		p.send(&pgproto3.Close{ObjectType: 'S', Name: name}, step{kind: stepClose, internal: true})
 	}
-	c.closing = c.closing[:0]
+	c.toClose = c.toClose[:0]
 }
 
 // message plans one message of the request.
@@ -124,18 +125,18 @@
 	case *pgproto3.Parse:
 		p.parse(c, msg, step{})
 	case *pgproto3.Bind:
-		p.need(c, req, msg.PreparedStatement)
+		p.ensurePrepared(c, req, msg.PreparedStatement)
 		p.send(msg, step{kind: stepBind})
 	case *pgproto3.Describe:
 		if msg.ObjectType == 'S' {
-			p.need(c, req, msg.Name)
+			p.ensurePrepared(c, req, msg.Name)
 		}
 		p.send(msg, step{kind: stepDescribe})
 	case *pgproto3.Execute:
 		p.send(msg, step{kind: stepExecute})
 	case *pgproto3.Close:
 		if msg.ObjectType == 'S' && msg.Name != "" {
-			// Other callers use the statement under the same name, so that it stays.
+			// The statement stays prepared, since other callers use it under the same name.
 			p.steps = append(p.steps, step{kind: stepClose, omitted: true})
 			return
 		}
@@ -147,21 +148,21 @@
 	}
 }
 
-// need prepares a named statement that the connection lacks.
-func (p *plan) need(c *Conn, req *core.Request, name string) {
+// ensurePrepared adds a Parse for a named statement that isn't prepared on the connection.
+func (p *plan) ensurePrepared(c *Conn, req *core.Request, name string) {
 	if name == "" {
 		return
 	}
-	if c.has(name) || p.prepares(name) {
+	if c.hasStatement(name) || p.hasParse(name) {
 		p.names = append(p.names, name)
 		return
 	}
 	if msg, ok := req.Prepared[name]; ok {
-		p.parse(c, msg, step{own: true})
+		p.parse(c, msg, step{internal: true})
 	}
 }
 
-// parse plans a Parse unless the connection has the statement.
+// parse plans a Parse, which is omitted if the statement is already prepared on the connection.
 func (p *plan) parse(c *Conn, msg *pgproto3.Parse, s step) {
 	s.kind = stepParse
 	if msg.Name == "" {
@@ -169,7 +170,7 @@
 		return
 	}
 	p.names = append(p.names, msg.Name)
-	if c.has(msg.Name) || p.prepares(msg.Name) {
+	if c.hasStatement(msg.Name) || p.hasParse(msg.Name) {
 		s.omitted = true
 		p.steps = append(p.steps, s)
 		return
@@ -178,8 +179,8 @@
 	p.send(msg, s)
 }
 
-// prepares reports whether the plan prepares the statement.
-func (p *plan) prepares(name string) bool {
+// hasParse reports whether the plan contains a Parse for the statement.
+func (p *plan) hasParse(name string) bool {
 	for i := range p.steps {
 		if p.steps[i].kind == stepParse && p.steps[i].name == name {
 			return true
@@ -188,15 +189,15 @@
 	return false
 }
 
-// has reports whether the connection has the statement.
-func (c *Conn) has(name string) bool {
+// hasStatement reports whether the statement is prepared on the connection.
+func (c *Conn) hasStatement(name string) bool {
 	_, ok := c.prepared[name]
 	return ok
 }
 
-// remember notes that the upstream has prepared the statement. Beyond the limit, another one is
-// closed with the next request.
-func (c *Conn) remember(name string) {
+// markPrepared records that the statement is prepared on the connection. If there are MaxPrepared
+// statements already, the next request closes an arbitrary one.
+func (c *Conn) markPrepared(name string) {
 	if name == "" {
 		return
 	}
@@ -204,16 +205,16 @@
 		if len(c.prepared) < c.cfg.MaxPrepared {
 			break
 		}
-		c.forget(other)
+		c.scheduleClose(other)
 	}
 	c.prepared[name] = struct{}{}
 }
 
-// forget makes the next extended request close the statement.
-func (c *Conn) forget(name string) {
-	if !c.has(name) {
+// scheduleClose makes the next extended request close the statement, if it is prepared.
+func (c *Conn) scheduleClose(name string) {
+	if !c.hasStatement(name) {
 		return
 	}
 	delete(c.prepared, name)
-	c.closing = append(c.closing, name)
+	c.toClose = append(c.toClose, name)
 }
--- a/io/dbconn/upstream.go
+++ b/io/dbconn/upstream.go
@@ -14,28 +14,28 @@
 	"snipewall/core"
 )
 
-// Upstream implements core.Upstream. It keeps one connection for control functions.
+// Upstream implements core.Upstream. It keeps one connection for control functions open.
 type Upstream struct {
-	cfg      Config
-	data     *pgconn.Config
-	controls *pgconn.Config
-	// control holds the kept connection, or nil if there is none, while no call uses it.
-	control chan *Conn
-	// cancels holds a token for each cancel request on the way.
+	cfg           Config
+	dataConfig    *pgconn.Config
+	controlConfig *pgconn.Config
+	// controlConn holds the control connection while no call uses it, or nil if there is none.
+	controlConn chan *Conn
+	// cancels holds a token for each cancel request in progress.
 	cancels chan struct{}
-	// recorded tells that the table of the request ids has been used.
-	recorded atomic.Bool
+	// hasRecordTable is set once the table of request ids is known to exist.
+	hasRecordTable atomic.Bool
 }
 
 var _ core.Upstream = (*Upstream)(nil)
 
-// Info returns the description from the settings.
+// Info returns the description of the upstream from the configuration.
 func (u *Upstream) Info() core.UpstreamInfo { return u.cfg.Info }
 
 // Dial opens a connection for requests. It returns *core.RefusedError if the upstream is at its
 // connection limit.
 func (u *Upstream) Dial(ctx context.Context) (core.Conn, error) {
-	c, err := u.dial(ctx, u.data)
+	c, err := u.dial(ctx, u.dataConfig)
 	if err != nil {
 		return nil, err
 	}
@@ -67,40 +67,40 @@
 	return core.ErrUpstream.New("upstream %s: %w", u.cfg.Info.ID, err)
 }
 
-// Close closes the kept control connection and waits for cancel requests, at most 1 s. The upstream
-// stays usable.
+// Close closes the control connection and waits for the cancel requests in progress, at most 1 s. The
+// upstream can still be used afterwards.
 func (u *Upstream) Close() error {
 	u.awaitCancels()
-	c := <-u.control
-	u.control <- nil
+	c := <-u.controlConn
+	u.controlConn <- nil
 	if c == nil {
 		return nil
 	}
 	return c.Close()
 }
 
-// statusFunction is the control function that polls call.
+// statusFunction is the call of the control function that returns the status.
 const statusFunction = "status()"
 
-// Status asks for the upstream's place in its group.
+// Status returns the upstream's role, terms and log positions.
 func (u *Upstream) Status(ctx context.Context) (core.UpstreamStatus, error) {
 	return u.call(ctx, statusFunction, true)
 }
 
-// Prepare makes the upstream accept the term. A refusal is a *core.SQLError. After any other error
-// the upstream may have accepted it.
+// Prepare makes the upstream promise the term, after which it accepts no log entries and commits of
+// lower terms. A refusal is a *core.SQLError. After any other error the upstream may have promised it.
 func (u *Upstream) Prepare(ctx context.Context, term core.Term) (core.UpstreamStatus, error) {
 	return u.call(ctx, "prepare("+formatTerm(term)+")", false)
 }
 
-// Promote makes the upstream primary of the term. A refusal is a *core.SQLError. After any other
-// error it may have taken effect; repeating it is safe.
+// Promote makes the upstream the primary of the term. A refusal is a *core.SQLError. After any other
+// error the call may have taken effect; it is safe to repeat.
 func (u *Upstream) Promote(ctx context.Context, term core.Term) (core.UpstreamStatus, error) {
 	return u.call(ctx, "promote("+formatTerm(term)+")", false)
 }
 
-// Follow makes the upstream a replica of the primary. A refusal is a *core.SQLError. After any other
-// error it may have taken effect; repeating it is safe.
+// Follow makes the upstream a replica of the primary of the term. A refusal is a *core.SQLError. After
+// any other error the call may have taken effect; it is safe to repeat.
 func (u *Upstream) Follow(ctx context.Context, term core.Term, primary core.UpstreamInfo) (core.UpstreamStatus, error) {
 	return u.call(ctx, "follow("+formatTerm(term)+", "+quote(primary.Address)+")", false)
 }
@@ -110,8 +110,8 @@
 // quote returns a SQL literal.
 func quote(s string) string { return "'" + strings.ReplaceAll(s, "'", "''") + "'" }
 
-// call runs a control function on the kept connection. A connection that turns out to be broken is
-// replaced; the call is repeated on the new one only if it may run twice.
+// call runs a control function on the control connection, which it replaces if it is broken. If the call
+// fails on the connection of an earlier call, it is retried on a new one, but only if repeat allows it to run twice.
 func (u *Upstream) call(ctx context.Context, function string, repeat bool) (core.UpstreamStatus, error) {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
@@ -120,12 +120,12 @@
 	}
 	var c *Conn
 	select {
-	case c = <-u.control:
+	case c = <-u.controlConn:
 	case <-ctx.Done():
 		return core.UpstreamStatus{}, core.ErrUpstream.New("upstream %s: control connection is busy: %w", u.cfg.Info.ID, ctx.Err())
 	}
-	defer func() { u.control <- c }()
-	kept := c != nil && c.usable()
+	defer func() { u.controlConn <- c }()
+	kept := c != nil && c.isUsable()
 	if !kept {
 		var err error
 		if c, err = u.replace(ctx, c); err != nil {
@@ -150,7 +150,7 @@
 	if old != nil {
 		_ = old.Close()
 	}
-	return u.dial(ctx, u.controls)
+	return u.dial(ctx, u.controlConfig)
 }
 
 // isRefusal reports whether the upstream answered the call with an error.
@@ -179,11 +179,12 @@
 	return s, nil
 }
 
-// statusParse prepares the poll, which is by far the most frequent control call. Without the query's
-// text and the description of its columns it takes about a third of the bytes.
+// statusParse prepares the status query, which is by far the most frequent control call. Without the
+// text of the query and the description of its columns, a call takes about a third of the bytes.
 var statusParse = &pgproto3.Parse{Name: "snipewall_status", Query: "SELECT * FROM snipewall.status()"}
 
-// controlRequest builds the call of a control function. A status is described only if asked for.
+// controlRequest builds the request that calls a control function. describe asks for the columns of a
+// status; the other functions always return theirs.
 func controlRequest(function string, describe bool) *core.Request {
 	if function != statusFunction {
 		return &core.Request{Messages: []pgproto3.FrontendMessage{
@@ -201,7 +202,7 @@
 	return req
 }
 
-// statusRow collects the row that a control function answers.
+// statusRow collects the row that a control function returns.
 type statusRow struct {
 	names  []string
 	values []string
@@ -234,7 +235,7 @@
 	}
 	seen := 0
 	for i, name := range r.names {
-		known, err := setStatus(&s, name, r.values[i])
+		known, err := setStatusField(&s, name, r.values[i])
 		if err != nil {
 			return s, err
 		}
@@ -251,9 +252,9 @@
 // statusColumns is the number of columns that setStatus knows.
 const statusColumns = 8
 
-// setStatus sets the field that a column stands for. Unknown columns are ignored, so that upstreams
-// can add some.
-func setStatus(s *core.UpstreamStatus, name, value string) (known bool, err error) {
+// setStatusField sets the field for a column. It ignores unknown columns, so that a later version of the
+// upstream can add some.
+func setStatusField(s *core.UpstreamStatus, name, value string) (known bool, err error) {
 	switch name {
 	case "role":
 		switch value {
@@ -276,7 +277,7 @@
 		}
 		return true, err
 	}
-	target := statusNumber(s, name)
+	target := uintField(s, name)
 	if target == nil {
 		return false, nil
 	}
@@ -284,8 +285,8 @@
 	return true, err
 }
 
-// statusNumber returns the field of an unsigned column, nil if the name is unknown.
-func statusNumber(s *core.UpstreamStatus, name string) *uint64 {
+// uintField returns the field for a column with an unsigned integer, or nil if the name is unknown.
+func uintField(s *core.UpstreamStatus, name string) *uint64 {
 	switch name {
 	case "promised_term":
 		return (*uint64)(&s.Promised)
