--- a/io/dbconn/upstream.go
+++ b/io/dbconn/upstream.go
@@ -111,7 +111,8 @@
 func quote(s string) string { return "'" + strings.ReplaceAll(s, "'", "''") + "'" }
 
 // call runs a control function on the control connection, which it replaces if it is broken. If the call
-// fails on the connection of an earlier call, it is retried on a new one, but only if repeat allows it to run twice.
+// fails on the connection of an earlier call and repeat allows it to run twice, it is retried on a new
+// one.
 func (u *Upstream) call(ctx context.Context, function string, repeat bool) (core.UpstreamStatus, error) {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
--- a/io/store/call.go
+++ b/io/store/call.go
@@ -16,13 +16,13 @@
 	"snipewall/core"
 )
 
-// CallError is a call that failed. If it was a write, it may have taken effect.
+// CallError reports a failed call to the platform. A write may have taken effect nevertheless.
 type CallError struct {
 	// Op is the operation, for example "get".
 	Op string
-	// Path is the path of the request.
+	// Path is the path of the HTTP request.
 	Path string
-	// Status is the HTTP status, or 0 without an answer.
+	// Status is the HTTP status, or 0 if there was no answer.
 	Status int
 	Err    error
 }
@@ -37,7 +37,7 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// call is one HTTP request.
+// call describes one HTTP request.
 type call struct {
 	op      string
 	method  string
@@ -47,26 +47,26 @@
 	timeout time.Duration
 }
 
-// fail builds the error of the call.
+// fail returns a *CallError for the call.
 func (c call) fail(status int, err error) error {
 	return core.ErrPlatform.Wrap(&CallError{Op: c.op, Path: c.path, Status: status, Err: err})
 }
 
-// answer is a complete HTTP response.
+// answer is an HTTP response with its whole body.
 type answer struct {
 	status int
 	index  core.Version
 	body   []byte
 }
 
-// reason returns the start of the body as the cause of a refusal.
+// reason returns the start of the body, which explains why the call was refused.
 func (a answer) reason() string {
 	text := strings.TrimSpace(string(a.body))
 	if text == "" {
 		return http.StatusText(a.status)
 	}
-	if len(text) > maxReason {
-		text = text[:maxReason]
+	if len(text) > maxReasonSize {
+		text = text[:maxReasonSize]
 	}
 	return text
 }
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// do sends the request and reads the whole answer within the call's time.
+// do sends the request and reads the whole answer within the call's timeout.
 func (s *Store) do(ctx context.Context, c call) (answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -96,12 +96,12 @@
 		return answer{}, c.fail(0, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerSize+1))
 	if err != nil {
 		return answer{}, c.fail(0, err)
 	}
-	if len(body) > maxAnswer {
-		return answer{}, c.fail(resp.StatusCode, fmt.Errorf("answer is longer than %d bytes", maxAnswer))
+	if len(body) > maxAnswerSize {
+		return answer{}, c.fail(resp.StatusCode, fmt.Errorf("answer is longer than %d bytes", maxAnswerSize))
 	}
 	a := answer{status: resp.StatusCode, body: body}
 	if index, err := strconv.ParseUint(resp.Header.Get(indexHeader), 10, 64); err == nil {
--- a/io/store/lease.go
+++ b/io/store/lease.go
@@ -11,7 +11,7 @@
 	"snipewall/core"
 )
 
-// sessionRequest is the published body of a session's creation.
+// sessionRequest is the body of the request that creates a session, in the published JSON form.
 type sessionRequest struct {
 	TTL       string
 	Behavior  string
--- a/io/store/store.go
+++ b/io/store/store.go
@@ -1,19 +1,20 @@
 // Package store is the adapter to the platform over HTTP: its key-value store with leases, and its
-// list of VMs. It implements core.Store. All assumptions about the platform are in this package:
+// list of VMs. It implements core.Store. Only this package depends on the following assumptions about
+// the platform:
 //
-//   - The HTTP interface has the shape of the published Consul key-value and session API.
-//   - An entry's version (ModifyIndex) only grows, also over a deletion and a new creation.
-//   - PUT with cas=N writes only if the version is N, 0 for a new entry, and answers true or false
-//     without the new version. The adapter reads the entry afterwards to learn the version.
+//   - The HTTP interface has the form of the published Consul key-value and session API.
+//   - An entry's version (ModifyIndex) only increases, even if the entry is deleted and created again.
+//   - PUT with cas=N writes only if the version is N, or 0 for a new entry, and answers true or false
+//     without the new version. The adapter reads the entry afterwards to get the version.
 //   - PUT with acquire=SESSION writes only if no other session holds the entry. It can't be combined
-//     with cas, so entries with a lease are written only with a lease, and the adapter compares the
-//     version before it acquires.
+//     with cas. Entries with a lease are therefore written only with a lease, and the adapter compares
+//     the version before it acquires the entry.
 //   - A lease is a session with the behavior "delete": when it ends, its entries are deleted.
 //   - A watch is a long poll with index and wait. A missing entry has the index of its deletion.
-//   - A read may come from a place that lags, so that it shows an older version.
-//   - When an answer is lost, the write may or may not have taken effect. The adapter never repeats
-//     a write; the caller reads back.
-//   - The list of VMs may be late but is correct eventually.
+//   - A read may be stale and return an older version.
+//   - If the answer to a write is lost, the write may or may not have taken effect. The adapter never
+//     repeats a write; the caller must read the entry.
+//   - The list of VMs may lag behind, but is eventually correct.
 //
 // # Usage
 //
@@ -48,29 +49,29 @@
 	defaultWatchWait   = 30 * time.Second
 	dialTimeout        = time.Second
 	idleTimeout        = 90 * time.Second
-	maxIdle            = 4
+	maxIdleConns       = 4
 )
 
-// Sizes of answers that the adapter reads at most.
+// Limits of answers in bytes.
 const (
-	// maxAnswer covers a value of 1 MiB in base64.
-	maxAnswer = 2 << 20
-	// maxReason limits the part of an error's body that is kept.
-	maxReason = 200
+	// maxAnswerSize limits the size of an answer. It is enough for a value of 1 MiB in base64.
+	maxAnswerSize = 2 << 20
+	// maxReasonSize limits the part of an error's body that goes into the error text.
+	maxReasonSize = 200
 )
 
 // indexHeader is the response header that holds the index to watch from.
 const indexHeader = "X-Consul-Index"
 
-// Config sets up a Store.
+// Config configures a Store.
 type Config struct {
 	// Address is the platform's base URL, for example http://127.0.0.1:8500.
 	Address string
-	// CallTimeout limits each call, 2 s if 0. A watch may take WatchWait more.
+	// CallTimeout limits each call, except that a watch may take WatchWait longer; 0 means 2 s.
 	CallTimeout time.Duration
-	// WatchWait is how long the platform holds a watch without a change, 30 s if 0.
+	// WatchWait is how long the platform waits for a change before it answers a watch; 0 means 30 s.
 	WatchWait time.Duration
-	// Transport is the HTTP transport; nil means one of its own.
+	// Transport is the HTTP transport; nil means a new one for this Store.
 	Transport http.RoundTripper
 }
 
@@ -81,14 +82,14 @@
 	client *http.Client
 
 	mu sync.Mutex
-	// missing holds the index of the deletion of entries that a watch found missing, so that the next
-	// watch waits for the creation instead of returning the deletion again.
-	missing map[string]core.Version
+	// missingIndexes holds the index of the deletion for each entry that a watch found missing. The next
+	// watch then waits for the creation instead of returning the deletion again.
+	missingIndexes map[string]core.Version
 }
 
 var _ core.Store = (*Store)(nil)
 
-// New returns a Store. It makes no call.
+// New checks the configuration and returns a Store. It makes no call to the platform.
 func New(cfg Config) (*Store, error) {
 	base, err := url.Parse(cfg.Address)
 	if err != nil {
@@ -106,19 +107,19 @@
 	if cfg.Transport == nil {
 		cfg.Transport = &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-			MaxIdleConnsPerHost: maxIdle,
+			MaxIdleConnsPerHost: maxIdleConns,
 			IdleConnTimeout:     idleTimeout,
 		}
 	}
 	return &Store{
-		cfg:     cfg,
-		base:    base,
-		client:  &http.Client{Transport: cfg.Transport},
-		missing: make(map[string]core.Version),
+		cfg:            cfg,
+		base:           base,
+		client:         &http.Client{Transport: cfg.Transport},
+		missingIndexes: make(map[string]core.Version),
 	}, nil
 }
 
-// keyAnswer is the published JSON form of an entry.
+// keyAnswer is an entry in the published JSON form.
 type keyAnswer struct {
 	Key         string
 	Value       []byte
@@ -144,23 +145,23 @@
 	}
 	e, index, err := s.read(ctx, "watch", key, query, s.cfg.WatchWait+s.cfg.CallTimeout)
 	if errors.Is(err, core.ErrNotFound) {
-		s.setMissing(key, index)
+		s.setMissingIndex(key, index)
 	}
 	return e, err
 }
 
-// missingIndex returns the index from which to watch an entry that doesn't exist. It is at least 1,
-// since a read with index 0 doesn't wait.
+// missingIndex returns the index to watch an entry from that doesn't exist. It is at least 1, since a
+// watch with index 0 returns at once.
 func (s *Store) missingIndex(key string) core.Version {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(s.missing[key], 1)
+	return max(s.missingIndexes[key], 1)
 }
 
-func (s *Store) setMissing(key string, index core.Version) {
+func (s *Store) setMissingIndex(key string, index core.Version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.missing[key] = max(s.missing[key], index)
+	s.missingIndexes[key] = max(s.missingIndexes[key], index)
 }
 
 func (s *Store) read(ctx context.Context, op, key string, query url.Values, timeout time.Duration) (core.Entry, core.Version, error) {
@@ -202,7 +203,7 @@
 	return vms, nil
 }
 
-// decodeBool reads the answer of a conditional write.
+// decodeBool decodes the answer to a conditional write.
 func decodeBool(c call, a answer) (bool, error) {
 	var ok bool
 	if a.status != http.StatusOK {
--- a/io/store/store_test.go
+++ b/io/store/store_test.go
@@ -23,7 +23,7 @@
 	return s
 }
 
-// Guards against lost updates and against versions that go back over a deletion.
+// Guards against lost updates and against versions that don't increase.
 func TestCompareAndSwap(t *testing.T) {
 	srv := httptest.NewServer(kvsim.New(kvsim.Config{}))
 	defer srv.Close()
@@ -44,7 +44,8 @@
 	assert.DeepEqual(t, e, core.Entry{Key: key, Value: []byte("b"), Version: v2})
 }
 
-// Guards against a lease that outlives its holder, and against two holders.
+// Guards against a lease that doesn't expire after its holder stopped renewing it, and against two
+// holders.
 func TestLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(t, kvsim.New(kvsim.Config{}))
@@ -64,14 +65,14 @@
 		assert.NilError(t, err)
 		assert.Equal(t, e.Lease, first)
 
-		// The holder pauses: the watch of the others ends at the expiry, not at the end of its time.
+		// The holder stops renewing: the watch must return when the lease expires, not at its timeout.
 		start := time.Now()
 		_, err = s.Watch(ctx, "lead", v)
 		assert.ErrorIs(t, err, core.ErrNotFound)
 		assert.Equal(t, time.Since(start), 4*time.Second)
 		assert.ErrorIs(t, s.KeepAlive(ctx, first), core.ErrLeaseLost)
 
-		// The next watch waits for the creation instead of returning the deletion again.
+		// The next watch must wait for the creation instead of returning the deletion again.
 		created := make(chan error, 1)
 		go func() {
 			time.Sleep(3 * time.Second)
@@ -90,8 +91,8 @@
 	})
 }
 
-// Guards against a call without a deadline, and against an error that hides whether a write took
-// effect.
+// Guards against calls without a deadline, and against errors that claim that a write had no effect
+// although it may have taken effect.
 func TestFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := kvsim.New(kvsim.Config{})
@@ -131,7 +132,7 @@
 	})
 }
 
-// Guards against watches that cost more than one call each.
+// Guards against watches that make more than one call each.
 func TestWatchCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := kvsim.New(kvsim.Config{})
