--- a/io/sock/server.go
+++ b/io/sock/server.go
@@ -11,36 +11,38 @@
 	"github.com/go-kit/log/level"
 )
 
-// acceptPause is the wait after a failure of Accept that may pass, as when descriptors ran out: about
-// the time in which some sessions end under load.
-const acceptPause = 10 * time.Millisecond
+// acceptRetryDelay is the pause after a failure of Accept that may be temporary, such as a lack of file
+// descriptors. In this time, some sessions usually end under load and free descriptors.
+const acceptRetryDelay = 10 * time.Millisecond
 
 // ServerConfig configures a Server. All fields are required.
 type ServerConfig[T comparable] struct {
 	Listener net.Listener
-	// Open returns the state of a new connection, and Serve serves it until its end.
-	Open  func(c net.Conn) T
+	// Open returns the state of a new connection, which must differ from that of all others.
+	Open func(c net.Conn) T
+	// Serve serves the connection with the state. The server closes the connection when Serve returns.
 	Serve func(ctx context.Context, state T)
 	Log   log.Logger
 }
 
-// Server accepts connections and serves each with a state of type T. It is safe for concurrent use.
+// Server accepts connections and serves each with its own state of type T. It is safe for concurrent
+// use.
 type Server[T comparable] struct {
 	cfg ServerConfig[T]
-	// ends receives one value for each connection that ended.
+	// ends receives one value for each connection that has ended.
 	ends chan struct{}
 
 	mu    sync.Mutex
 	conns map[T]net.Conn
 }
 
-// NewServer returns a server that accepts nothing before Run.
+// NewServer returns a server that accepts connections once Run is called.
 func NewServer[T comparable](cfg ServerConfig[T]) *Server[T] {
 	return &Server[T]{cfg: cfg, ends: make(chan struct{}, 64), conns: make(map[T]net.Conn)}
 }
 
-// Run accepts connections until ctx ends, and then closes all of them and waits for their ends. Its
-// error is that of the listener.
+// Run accepts connections until ctx ends or the listener is closed. It then closes all connections and
+// returns when they are no longer served. The error is that of the listener, or nil if ctx has ended.
 func (s *Server[T]) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.cfg.Listener.Close() })
 	defer stop()
@@ -69,7 +71,8 @@
 	return len(s.conns)
 }
 
-// Each calls fn with the state of each open connection, while no connection is opened or ends.
+// Each calls fn with the state of each open connection. Connections can't be added or removed meanwhile,
+// so fn must not block for long.
 func (s *Server[T]) Each(fn func(state T)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +87,7 @@
 		if err != nil {
 			if ctx.Err() == nil && !errors.Is(err, net.ErrClosed) {
 				level.Warn(s.cfg.Log).Log("Msg", "connection not accepted", "Err", err)
-				time.Sleep(acceptPause)
+				time.Sleep(acceptRetryDelay)
 				continue
 			}
 			return err
--- a/io/sock/server_test.go
+++ b/io/sock/server_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/poll"
 )
 
-// Guards against a server that returns while connections are still served, and against connections that
-// outlive it.
+// Guards against a Run that returns while connections are still served, and against connections that
+// stay open afterwards.
 func TestServerEndsItsConnections(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/io/sock/sock.go
+++ b/io/sock/sock.go
@@ -1,11 +1,12 @@
-// Package sock opens and checks TCP connections that notice a peer which has gone silent.
+// Package sock opens, accepts and checks TCP connections. The connections that it opens detect a peer
+// that no longer responds.
 //
 // # Usage
 //
 //	c, err := sock.Dial(ctx, "10.1.0.8:7440")
 //	...
-//	if !sock.Quiet(c) {
-//		// closed, or something unasked has arrived
+//	if !sock.IsIdle(c) {
+//		// The connection is closed, or unexpected data has arrived.
 //	}
 package sock
 
@@ -18,15 +19,15 @@
 )
 
 const (
-	// keepAliveIdle and keepAliveInterval are the times before and between probes.
+	// keepAliveIdle and keepAliveInterval are the times before the first probe and between probes.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
-	// keepAliveCount probes without an answer close a connection, so that one that went silent is
-	// found within about 3 s.
+	// keepAliveCount is the number of unanswered probes that close a connection. A peer that no longer
+	// responds is detected within about 3 s.
 	keepAliveCount = 2
-	// userTimeout closes a connection whose sent data isn't acknowledged.
+	// userTimeout is how long sent data may stay unacknowledged before the connection is closed.
 	userTimeout = 3 * time.Second
-	// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux.
+	// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux, which package syscall lacks.
 	tcpUserTimeout = 18
 )
 
@@ -35,12 +36,12 @@
 	Control:         setUserTimeout,
 }
 
-// Dial connects to host:port.
+// Dial connects to address, which has the form host:port.
 func Dial(ctx context.Context, address string) (net.Conn, error) {
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// setUserTimeout sets TCP_USER_TIMEOUT on a new socket.
+// setUserTimeout sets the socket option TCP_USER_TIMEOUT on a new socket.
 func setUserTimeout(_, _ string, rc syscall.RawConn) error {
 	var optErr error
 	err := rc.Control(func(fd uintptr) {
@@ -49,7 +50,8 @@
 	return errors.Join(err, optErr)
 }
 
-// IsIdle reports, without waiting, whether the connection is open and nothing has arrived on it.
+// IsIdle reports, without blocking, whether the connection is open and nothing has arrived on it.
+// Connections without a file descriptor count as idle.
 func IsIdle(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -59,12 +61,13 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
-	// RawConn.Read would fail at once, since the deadline of the last answer has usually passed.
+	idle := false
+	// RawConn.Read can't be used: it fails at once if the read deadline has passed, as that of the last
+	// answer usually has.
 	err = rc.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		idle = err == syscall.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
