--- a/io/admin/admin.go
+++ b/io/admin/admin.go
@@ -13,16 +13,16 @@
 	"snipewall/core"
 )
 
-// headerTimeout limits the time to read the header of a request.
+// headerTimeout limits the time to read a request's header.
 const headerTimeout = 5 * time.Second
 
 // Config configures a Server.
 type Config struct {
 	Listener net.Listener
 	Registry *core.Registry
-	// Metrics serves the metrics in the text format of the scraper.
+	// Metrics serves /metrics; nil means that the path doesn't exist.
 	Metrics http.Handler
-	// Status builds the value shown at /status.
+	// Status returns the value that /status shows as JSON; nil means that the path doesn't exist.
 	Status func() any
 }
 
@@ -32,16 +32,16 @@
 	ready atomic.Bool
 }
 
-// New returns a server that isn't ready yet.
+// New returns a server that answers "not ready" until SetReady is called.
 func New(cfg Config) *Server { return &Server{cfg: cfg} }
 
 // Name implements core.Service.
 func (s *Server) Name() string { return "admin" }
 
-// SetReady sets what /readyz answers to the balancer.
+// SetReady sets whether /readyz reports to the load balancer that the process is ready.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx ends, and then returns nil.
 func (s *Server) Run(ctx context.Context) error {
 	srv := &http.Server{Handler: s.handler(), ReadHeaderTimeout: headerTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
--- a/io/admin/doc.go
+++ b/io/admin/doc.go
@@ -1,11 +1,11 @@
-// Package admin serves the operators' side of a process over HTTP: liveness at /healthz, readiness
-// for the balancer at /readyz, metrics at /metrics, a short summary at /status, the state of all
+// Package admin serves the operators' HTTP interface of a process: liveness at /healthz, readiness for
+// the load balancer at /readyz, metrics at /metrics, a short summary at /status, the state of all
 // services at /dump, and runtime profiles at /debug/pprof/.
 //
 // # Usage
 //
-//	a := admin.New(admin.Config{Listener: ln, Kernel: k, Metrics: reporter.HTTPHandler()})
-//	if err := k.Register(a); err != nil {
+//	a := admin.New(admin.Config{Listener: ln, Registry: r, Metrics: reporter.HTTPHandler()})
+//	if err := r.Register(a); err != nil {
 //		return err
 //	}
 //	a.SetReady(true)
