--- a/io/logbuf/logbuf.go
+++ b/io/logbuf/logbuf.go
@@ -1,7 +1,7 @@
-// Package logbuf writes log lines without ever blocking who logs.
+// Package logbuf writes log lines without blocking the goroutines that log.
 //
-// Lines go through a bounded buffer to one goroutine that writes them in batches. When the writer is
-// slower than the log, or more lines come than the rate allows, lines are dropped and their number is
+// Lines go through a bounded buffer to one goroutine that writes them in batches. If the buffer is full
+// because the output is slow, or if the rate limit is exceeded, lines are dropped and their number is
 // logged later.
 //
 // # Usage
@@ -20,37 +20,37 @@
 	"time"
 )
 
-// Defaults of Config.
+// Defaults of Config. The buffer's size is in bytes.
 const (
 	defaultInterval = 100 * time.Millisecond
 	defaultRate     = 200
 	defaultBuffer   = 256 << 10
 )
 
-// Config configures a Writer. Zero values stand for the defaults.
+// Config configures a Writer.
 type Config struct {
 	Out io.Writer
-	// Interval is the longest time that a line waits to be written.
+	// Interval is how often buffered lines are written; 0 means 100 ms.
 	Interval time.Duration
-	// Rate is the number of lines a second that are kept.
+	// Rate limits the lines per second; 0 means 200.
 	Rate int
-	// Buffer is the number of bytes that may wait.
+	// Buffer limits the size of the buffered lines in bytes; 0 means 256 KiB.
 	Buffer int
 }
 
-// Writer is safe for concurrent use.
+// Writer is an io.Writer that buffers log lines. It is safe for concurrent use.
 type Writer struct {
 	cfg Config
 
 	mu      sync.Mutex
-	waiting bytes.Buffer
-	// second and lines count the lines of the current second.
+	pending bytes.Buffer
+	// lines is the number of lines buffered in second, the current second as Unix time.
 	second  int64
 	lines   int
 	dropped int
 }
 
-// New returns a writer that keeps lines until Run writes them.
+// New returns a writer that buffers lines until Run writes them.
 func New(cfg Config) *Writer {
 	if cfg.Interval <= 0 {
 		cfg.Interval = defaultInterval
@@ -64,22 +64,23 @@
 	return &Writer{cfg: cfg}
 }
 
-// Write keeps the line, or drops it and reports success all the same.
+// Write buffers the line, or drops it. It never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if now := time.Now().Unix(); now != w.second {
 		w.second, w.lines = now, 0
 	}
-	if w.lines >= w.cfg.Rate || w.waiting.Len()+len(line) > w.cfg.Buffer {
+	if w.lines >= w.cfg.Rate || w.pending.Len()+len(line) > w.cfg.Buffer {
 		w.dropped++
 		return len(line), nil
 	}
 	w.lines++
-	return w.waiting.Write(line)
+	return w.pending.Write(line)
 }
 
-// Run writes the lines until ctx ends, and then what still waits.
+// Run writes buffered lines until ctx ends, and then writes the rest. It returns the first error of
+// Config.Out.
 func (w *Writer) Run(ctx context.Context) error {
 	ticker := time.NewTicker(w.cfg.Interval)
 	defer ticker.Stop()
@@ -98,11 +99,11 @@
 func (w *Writer) flush() error {
 	w.mu.Lock()
 	if w.dropped > 0 && w.lines < w.cfg.Rate {
-		fmt.Fprintf(&w.waiting, "{\"Msg\":\"log lines dropped\",\"Lines\":%d}\n", w.dropped)
+		fmt.Fprintf(&w.pending, "{\"Msg\":\"log lines dropped\",\"Lines\":%d}\n", w.dropped)
 		w.dropped = 0
 	}
-	lines := bytes.Clone(w.waiting.Bytes())
-	w.waiting.Reset()
+	lines := bytes.Clone(w.pending.Bytes())
+	w.pending.Reset()
 	w.mu.Unlock()
 	if len(lines) == 0 {
 		return nil
--- a/io/logbuf/logbuf_test.go
+++ b/io/logbuf/logbuf_test.go
@@ -12,21 +12,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// stuck is a writer that doesn't return before it is released.
-type stuck struct {
+// blockedWriter blocks each write until release is closed.
+type blockedWriter struct {
 	release chan struct{}
 	out     bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return s.out.Write(p)
 }
 
-// Guards against a log that blocks who logs, and against dropped lines that nobody learns of.
+// Guards against a slow output that blocks the goroutines that log, and against dropping lines without
+// logging their number.
 func TestNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{release: make(chan struct{})}
+		out := &blockedWriter{release: make(chan struct{})}
 		w := New(Config{Out: out, Rate: 10})
 		ctx, cancel := context.WithCancel(t.Context())
 		end := make(chan error, 1)
