--- a/io/stats/stats.go
+++ b/io/stats/stats.go
@@ -1,4 +1,4 @@
-// Package stats builds the root scope of a process's metrics and the handler that serves them.
+// Package stats creates the root scope of a process's metrics and the HTTP handler that serves them.
 //
 // # Usage
 //
@@ -16,10 +16,11 @@
 	"snipewall/core"
 )
 
-// reportInterval is how often metrics are handed to the reporter.
+// reportInterval is how often the scope passes its metrics to the reporter.
 const reportInterval = time.Second
 
-// New returns the root scope and the handler of the scrape endpoint.
+// New returns the root scope, whose metrics are tagged with the VM, and the handler of the scrape
+// endpoint.
 func New(vm core.VMID) (tally.Scope, http.Handler) {
 	reporter := prometheus.NewReporter(prometheus.Options{})
 	scope, _ := tally.NewRootScope(tally.ScopeOptions{
