--- a/io/ctrl/traffic_test.go
+++ b/io/ctrl/traffic_test.go
@@ -180,7 +180,6 @@
 	return wire
 }
 
-// cpuTime returns the CPU time of the process.
 func cpuTime(t *testing.T) time.Duration {
 	var r syscall.Rusage
 	assert.NilError(t, syscall.Getrusage(syscall.RUSAGE_SELF, &r))
--- a/io/dbconn/conn.go
+++ b/io/dbconn/conn.go
@@ -147,7 +147,6 @@
 	return writeErr
 }
 
-// read reads the answer to the plan.
 func (c *Conn) read() error {
 	for !c.answer.done() {
 		msg, err := c.frontend.Receive()
--- a/io/dbconn/plan.go
+++ b/io/dbconn/plan.go
@@ -97,7 +97,6 @@
 // errIncomplete reports a request after which the upstream would wait for more messages.
 var errIncomplete = errors.New("request doesn't end with Query or Sync")
 
-// messages plans the messages of the request.
 func (p *plan) messages(c *Conn, req *core.Request) {
 	for _, msg := range req.Messages {
 		p.message(c, req, msg)
@@ -115,7 +114,6 @@
 	c.toClose = c.toClose[:0]
 }
 
-// message plans one message of the request.
 func (p *plan) message(c *Conn, req *core.Request, msg pgproto3.FrontendMessage) {
 	switch msg := msg.(type) {
 	case *pgproto3.Query:
--- a/io/dbconn/upstream.go
+++ b/io/dbconn/upstream.go
@@ -228,7 +228,6 @@
 	return nil
 }
 
-// status converts the row.
 func (r *statusRow) status() (core.UpstreamStatus, error) {
 	var s core.UpstreamStatus
 	if r.rows != 1 || len(r.values) != len(r.names) {
@@ -250,7 +249,7 @@
 	return s, nil
 }
 
-// statusColumns is the number of columns that setStatus knows.
+// statusColumns is the number of columns that setStatusField knows.
 const statusColumns = 8
 
 // setStatusField sets the field for a column. It ignores unknown columns, so that a later version of the
--- a/io/front/answer.go
+++ b/io/front/answer.go
@@ -41,8 +41,8 @@
 	// refused is set if the request was refused because the server is stopping. The connection is closed
 	// after the answer.
 	refused bool
-	// upstreamFatal is an error by which the upstream ended its connection. It is reported only if
-	// the executor reports no error of its own.
+	// upstreamFatal is the error with which the upstream closed its connection. It is reported only if
+	// the executor returns no error.
 	upstreamFatal    *pgproto3.ErrorResponse
 	deadline         time.Time
 	hasWriteDeadline bool
@@ -52,7 +52,6 @@
 	return &answer{s: s, ops: ops, buf: writeBuffers.Get().(*[]byte)}
 }
 
-// put appends a message.
 func (a *answer) put(msg pgproto3.BackendMessage) {
 	buf, err := msg.Encode(*a.buf)
 	if err != nil {
--- a/io/front/batch.go
+++ b/io/front/batch.go
@@ -320,7 +320,6 @@
 	}
 }
 
-// forget removes a prepared statement.
 func (s *session) forget(name string) {
 	if name == "" {
 		s.unnamed = nil
--- a/io/front/doc.go
+++ b/io/front/doc.go
@@ -34,7 +34,7 @@
 // # Usage
 //
 //	srv := front.New(front.Config{Listener: l, Router: r, Policies: p, Groups: g})
-//	if err := k.Register(srv); err != nil {
+//	if err := registry.Register(srv); err != nil {
 //		return err
 //	}
 //	// Before the process stops:
--- a/io/front/reader.go
+++ b/io/front/reader.go
@@ -154,7 +154,6 @@
 	return body, nil
 }
 
-// skip discards n bytes.
 func (rd *reader) skip(n int) error {
 	for n > 0 {
 		if rd.buffered() == 0 {
--- a/io/relay/doc.go
+++ b/io/relay/doc.go
@@ -16,6 +16,6 @@
 //
 // The other side gets a core.Executor for an upstream on another entry VM:
 //
-//	client := relay.NewClient(relay.ClientConfig{Log: logger})
+//	client := relay.NewClient(relay.ClientConfig{})
 //	res, err := client.Executor(vm, "berth-1-galveston").Execute(ctx, req, w)
 package relay
--- a/io/store/store.go
+++ b/io/store/store.go
@@ -60,7 +60,7 @@
 	maxReasonSize = 200
 )
 
-// indexHeader is the response header that holds the index to watch from.
+// indexHeader is the response header with the index from which to watch.
 const indexHeader = "X-Consul-Index"
 
 // Config configures a Store.
