--- a/core/proxy/fake_test.go
+++ b/core/proxy/fake_test.go
@@ -120,7 +120,7 @@
 		l.status = core.TxFailed
 	}
 	ans := core.Answer{Fault: fault, Status: l.status, Position: l.s.log}
-	if fault == core.FaultNone && (c.Op == core.OpCaller || c.Op == core.OpExecute) {
+	if fault == core.FaultNone && (c.Op == core.OpForward || c.Op == core.OpExecute) {
 		ans.Signed = true
 		ans.Body = []byte("COMPLETE " + string(l.s.id) + "\r\n")
 	}
@@ -222,7 +222,7 @@
 		Routes: map[string]topo.Route{
 			"strict":  testRoute("strict", topo.Strict, 0),
 			"bounded": testRoute("bounded", topo.Bounded, 1500*time.Millisecond),
-			"own":     testRoute("own", topo.OwnWrites, 2500*time.Millisecond),
+			"own":     testRoute("own", topo.ReadYourWrites, 2500*time.Millisecond),
 		},
 		Groups: map[core.GroupID]topo.Group{"g": {ID: "g", Connections: 20}},
 	})
--- a/core/proxy/work.go
+++ b/core/proxy/work.go
@@ -76,13 +76,13 @@
 	if !w.write {
 		w.seen = s.p.cfg.Now()
 	}
-	s.p.budget.Earn()
+	s.p.budget.Deposit()
 	return w, nil
 }
 
 // command returns the statement for an upstream.
 func (w *work) command(await core.Position) core.Command {
-	c := w.stamp(core.Command{Op: core.OpCaller, ID: w.st.ID, Text: w.st.Text, Await: await, Commit: w.st.Verb == VerbCommit})
+	c := w.stamp(core.Command{Op: core.OpForward, ID: w.st.ID, Text: w.st.Text, Await: await, Commit: w.st.Verb == VerbCommit})
 	if w.shape != nil {
 		c.Op, c.Name, c.Text = core.OpExecute, w.shape.name(), w.st.Arg
 	}
@@ -111,15 +111,15 @@
 	if w.write || strict || w.route.Reads == topo.Strict {
 		return target{node: primary, strict: !w.write}, primary != nil
 	}
-	await, ok := w.group.fresh.Floor(w.seen.Add(-w.route.MaxAge))
+	await, ok := w.group.fresh.MinPosition(w.seen.Add(-w.route.MaxAge))
 	if !ok && !w.indexed && primary != nil {
 		w.indexed = true
 		await, ok = s.readIndex(ctx, primary)
 	}
-	if !ok || (s.strictOwn && w.route.Reads == topo.OwnWrites) {
+	if !ok || (s.strictOwn && w.route.Reads == topo.ReadYourWrites) {
 		return target{node: primary, strict: true}, primary != nil
 	}
-	if w.route.Reads == topo.OwnWrites && await.Less(s.own) {
+	if w.route.Reads == topo.ReadYourWrites && await.Less(s.own) {
 		await = s.own
 	}
 	if n := w.replica(now, await); n != nil {
@@ -221,7 +221,7 @@
 
 // acquire takes a slot and then a connection.
 func (s *Session) acquire(ctx context.Context, w *work, n *node, opens bool) (*held, *Reply) {
-	it := &queue.Item{Kind: core.Kind(s.database), Rank: w.route.Rank, Opens: opens, Deadline: w.startBy}
+	it := &queue.Item{Kind: core.Kind(s.database), Rank: w.route.Rank, OpensTx: opens, Deadline: w.startBy}
 	return n.acquire(ctx, it, n.get)
 }
 
@@ -231,7 +231,7 @@
 	if refused := h.admit(ctx, it); refused != nil {
 		return nil, refused
 	}
-	h.opens = it.Opens
+	h.opens = it.OpensTx
 	var err error
 	if h.handle, err = get(ctx, it.Deadline); err == nil {
 		return h, nil
