--- a/server/doc.go
+++ b/server/doc.go
@@ -1,5 +1,5 @@
-// Package server builds the process of an entry VM from its settings: it registers all services in
-// one kernel, runs them, and stops them in an order that cuts no request in flight.
+// Package server assembles an entry VM from its settings. It registers all services in one
+// core.Registry, runs them, and shuts them down without interrupting requests in flight.
 //
 // # Usage
 //
--- a/server/failover.go
+++ b/server/failover.go
@@ -7,8 +7,8 @@
 	"snipewall/core/elect"
 )
 
-// countChange records a completed change of primary and its parts.
-func (p *Process) countChange(id core.GroupID, c elect.Change) {
+// recordFailover counts a completed change of primary and records the durations of its phases.
+func (p *Process) recordFailover(id core.GroupID, c elect.Change) {
 	scope := p.scope.SubScope("Failover").Tagged(map[string]string{"Group": string(id)})
 	scope.Counter("Changes").Inc(1)
 	parts := map[string]time.Duration{
--- a/server/groups.go
+++ b/server/groups.go
@@ -11,7 +11,7 @@
 	"snipewall/io/dbconn"
 )
 
-// openUpstreams builds the adapters. They dial on demand.
+// openUpstreams builds the upstream clients, which connect on demand.
 func (p *Process) openUpstreams() error {
 	s := p.cfg.Settings
 	p.upstreams = make(map[core.UpstreamID]core.Upstream, len(s.Upstreams))
@@ -29,7 +29,8 @@
 	return nil
 }
 
-// newGroup builds the monitor and the failover driver of a group.
+// newGroup builds the monitor and the failover driver of a group, which run while this VM owns one of its
+// upstreams.
 func (p *Process) newGroup(id core.GroupID, infos []core.UpstreamInfo) assign.Group {
 	s := p.cfg.Settings
 	upstreams := make([]core.Upstream, 0, len(infos))
@@ -41,12 +42,12 @@
 		Group: id, Self: s.VM.ID, Upstreams: upstreams, View: monitor, Store: p.store, Members: p.members,
 		Logger:   log.With(p.cfg.Log, "Service", "elect"),
 		Timing:   elect.Timing{SilentAfter: s.Failover.SuspectAfter, RefusedAfter: s.Failover.RefusedAfter},
-		OnChange: func(c elect.Change) { p.countChange(id, c) },
+		OnChange: func(c elect.Change) { p.recordFailover(id, c) },
 	})
 	return assign.Group{View: monitor, Services: []core.Service{monitor, driver}}
 }
 
-// newOwner builds the owner of an upstream.
+// newOwner builds the owner of an upstream, which runs while this VM owns the upstream.
 func (p *Process) newOwner(info core.UpstreamInfo, view core.GroupView) assign.Owner {
 	var group []core.UpstreamInfo
 	for _, other := range p.cfg.Settings.Upstreams {
--- a/server/members.go
+++ b/server/members.go
@@ -10,7 +10,7 @@
 	"snipewall/io/ctrl"
 )
 
-// openMembers builds the membership and the listener for control calls.
+// openMembers registers the membership service and the server for control calls.
 func (p *Process) openMembers() error {
 	s := p.cfg.Settings
 	ln, err := listen("Control", s.Listen.Control)
@@ -33,7 +33,7 @@
 	return p.registry.Register(control)
 }
 
-// controlService runs the server for control calls as a service.
+// controlService runs the control server as a core.Service.
 type controlService struct {
 	server   *ctrl.Server
 	listener net.Listener
--- a/server/server.go
+++ b/server/server.go
@@ -26,13 +26,13 @@
 	"snipewall/io/store"
 )
 
-// Config configures a Process.
+// Config configures a Process. Both fields are required.
 type Config struct {
 	Settings *conf.Settings
 	Log      log.Logger
 }
 
-// Process is one entry VM.
+// Process is an entry VM. New builds it.
 type Process struct {
 	cfg       Config
 	registry  *core.Registry
@@ -52,7 +52,8 @@
 	admin   *admin.Server
 }
 
-// New opens the listeners and builds the services. Nothing runs yet.
+// New opens the listeners and registers the services, which Run starts. Its errors name the setting to
+// change.
 func New(cfg Config) (*Process, error) {
 	p := &Process{cfg: cfg, registry: core.NewRegistry()}
 	p.scope, p.metrics = stats.New(cfg.Settings.VM.ID)
@@ -67,7 +68,7 @@
 	return p, nil
 }
 
-// listen opens a TCP listener and names the setting that it belongs to in its error.
+// listen opens a TCP listener. Its error names the key of the section Listen.
 func listen(key, address string) (net.Listener, error) {
 	var lc net.ListenConfig
 	ln, err := lc.Listen(context.Background(), "tcp", address)
@@ -148,7 +149,8 @@
 	return p.registry.Register(p.admin)
 }
 
-// Run serves until ctx ends and then stops gracefully.
+// Run serves callers until ctx ends, then shuts down gracefully within Grace and Timeout of the section
+// Stop. It returns the error of the first service that fails.
 func (p *Process) Run(ctx context.Context) error {
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -171,14 +173,15 @@
 }
 
 const (
-	// readyInterval is how often the process checks whether it can serve.
+	// readyInterval is the interval at which awaitReady checks for an operators' table.
 	readyInterval = 50 * time.Millisecond
-	// readyTimeout is how long it waits for a table before it serves without one: during an outage of
-	// the platform the defaults are better than no service.
+	// readyTimeout limits the wait for an operators' table. After it the process serves with the
+	// defaults, so that it can start during an outage of the platform.
 	readyTimeout = 5 * time.Second
 )
 
-// awaitReady turns readiness on once the table is in force. It returns when ctx ends.
+// awaitReady turns readiness on as soon as a table is in force, at the latest after readyTimeout. It
+// returns when ctx ends.
 func (p *Process) awaitReady(ctx context.Context) error {
 	ticker := time.NewTicker(readyInterval)
 	defer ticker.Stop()
@@ -198,7 +201,8 @@
 	return nil
 }
 
-// stop lets the balancer and the other entry VMs turn away, then finishes what is in flight.
+// stop makes the load balancer and the other entry VMs send their requests elsewhere, then drains the
+// requests in flight.
 func (p *Process) stop(ctx context.Context) {
 	s := p.cfg.Settings.Stop
 	level.Info(p.cfg.Log).Log("Msg", "stopping", "Grace", s.Grace.String())
@@ -215,7 +219,7 @@
 	level.Info(p.cfg.Log).Log("Msg", "stopped")
 }
 
-// drainer is a service that finishes its work before it ends.
+// drainer is a service that can finish its requests in flight before it ends.
 type drainer interface {
 	Name() string
 	Drain(ctx context.Context) error
@@ -230,14 +234,15 @@
 	}
 }
 
-// Status is the summary of an entry VM at /status.
+// Status is the JSON response of /status on the admin port.
 type Status struct {
 	VM           core.VM
 	TableVersion core.Version
 	Members      []core.VM
-	// Primaries holds the primary of each group as far as this entry VM knows.
+	// Primaries holds the primary of each group, as far as it is known to this entry VM.
 	Primaries map[core.GroupID]core.UpstreamID
-	Leaving   []core.UpstreamID `json:",omitempty"`
+	// Leaving lists the upstreams that are being taken out of service.
+	Leaving []core.UpstreamID `json:",omitempty"`
 }
 
 func (p *Process) status() any {
@@ -253,7 +258,7 @@
 	return st
 }
 
-// errNoCertificates says that a CA file holds nothing usable.
+// errNoCertificates is the error of a CA file without a certificate.
 func errNoCertificates(path string) error {
 	return core.ErrSettings.New("section [UpstreamTLS], key CA: %s", fmt.Sprintf("%q holds no PEM certificate", path))
 }
--- a/server/tls.go
+++ b/server/tls.go
@@ -10,7 +10,7 @@
 	"snipewall/core"
 )
 
-// callerTLS returns the TLS configuration towards callers, or nil.
+// callerTLS returns the TLS configuration for callers, or nil if no certificate is set.
 func callerTLS(s conf.CallerTLS) (*tls.Config, error) {
 	if s.Certificate == "" {
 		return nil, nil
@@ -22,7 +22,7 @@
 	return &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS12}, nil
 }
 
-// upstreamTLS returns the TLS configuration towards an upstream, or nil.
+// upstreamTLS returns the TLS configuration for an upstream, or nil if no CA file is set.
 func upstreamTLS(s conf.UpstreamTLS, info core.UpstreamInfo) (*tls.Config, error) {
 	if s.CA == "" {
 		return nil, nil
