--- a/cmds/cmds.go
+++ b/cmds/cmds.go
@@ -1,5 +1,5 @@
-// Package cmds holds the commands of the snipewall program. Each command checks its arguments,
-// calls the packages that do the work, and turns their errors into an exit code.
+// Package cmds implements the commands of the snipewall program. Each command checks its arguments, calls
+// the packages that implement it, and maps their errors to an exit code.
 //
 // # Usage
 //
@@ -19,17 +19,17 @@
 // Exit codes of the program.
 const (
 	ExitOK = 0
-	// ExitFailure is any other failure.
+	// ExitFailure is the code of failures that have no code of their own.
 	ExitFailure = 1
-	// ExitInvalid says that the settings, the table or the arguments are invalid.
+	// ExitInvalid means that the settings, the table or the arguments are invalid.
 	ExitInvalid = 2
-	// ExitConflict says that the table in force has changed since the edit's base.
+	// ExitConflict means that the table in force has changed since the version that the edit is based on.
 	ExitConflict = 3
-	// ExitUnknown says that an edit may or may not have been accepted.
+	// ExitUnknown means that the outcome of an edit is unknown: it may have been accepted.
 	ExitUnknown = 4
 )
 
-// exitError carries the exit code of a failed command.
+// exitError is an error with the exit code of the failed command.
 type exitError struct {
 	code int
 	err  error
@@ -38,7 +38,7 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
-// withCode attaches an exit code to err, or returns nil.
+// withCode attaches an exit code to err. It returns nil if err is nil.
 func withCode(code int, err error) error {
 	if err == nil {
 		return nil
@@ -46,13 +46,14 @@
 	return &exitError{code: code, err: err}
 }
 
-// deps is what all commands share.
+// deps holds the standard streams of the commands.
 type deps struct {
 	out io.Writer
 	in  io.Reader
 }
 
-// Run runs the command line and returns the exit code.
+// Run executes the command line args, whose first element is the program's name, and returns the exit code.
+// It prints errors to the standard error.
 func Run(args []string) int {
 	d := &deps{out: os.Stdout, in: os.Stdin}
 	err := newRoot(d).Run(context.Background(), args)
@@ -73,7 +74,7 @@
 		Usage:           "PostgreSQL proxy with session consistency",
 		HideHelpCommand: true,
 		Writer:          d.out,
-		// Exit codes are chosen in Run, so that the library must not exit by itself.
+		// Run chooses the exit code. Without this handler the library would exit by itself.
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		Commands: []*cli.Command{
 			serveCommand(d),
--- a/cmds/entry.go
+++ b/cmds/entry.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// memoryShare is the part of the memory limit that the runtime's heap may use; the rest is for
-	// stacks of the kernel's side, socket buffers and a spike.
-	memoryShare = 0.7
-	// gcPercent lets the heap grow by this much between collections. The heap is a few megabytes, so
-	// that memory costs more than the collector's processor time.
+	// memoryLimitFraction is the part of the process's memory limit that is given to the Go runtime. The
+	// rest is for kernel stacks, socket buffers and peaks.
+	memoryLimitFraction = 0.7
+	// gcPercent is lower than the default of 100: the heap has a few megabytes, so that collections are
+	// cheap and memory is the scarcer resource.
 	gcPercent = 60
 )
 
@@ -37,33 +37,33 @@
 }
 
 func runEntry(ctx context.Context, path string) error {
-	// Signals are handled before anything else: a SIGHUP that comes earlier would end the process.
+	// Handlers are installed first, since a SIGHUP without a handler would kill the process.
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
-	defer signal.Stop(hups)
+	sighups := make(chan os.Signal, 1)
+	signal.Notify(sighups, syscall.SIGHUP)
+	defer signal.Stop(sighups)
 	s, err := conf.LoadEntry(path)
 	if err != nil {
 		return withCode(ExitInvalid, err)
 	}
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.Memory)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.Memory)))
 	out := logbuf.New(logbuf.Config{Out: os.Stdout})
 	logCtx, endLog := context.WithCancel(context.WithoutCancel(ctx))
-	ended := make(chan error, 1)
-	go func() { ended <- out.Run(logCtx) }()
+	logDone := make(chan error, 1)
+	go func() { logDone <- out.Run(logCtx) }()
 	logger := entryLogger(out, s)
-	reloads := make(chan struct{})
+	checksDone := make(chan struct{})
 	go func() {
-		defer close(reloads)
-		reload(ctx, hups, path, logger)
+		defer close(checksDone)
+		checkSettingsOnSIGHUP(ctx, sighups, path, logger)
 	}()
 	err = platform.Run(ctx, platform.Config{Settings: s, Log: logger})
 	stop()
-	<-reloads
+	<-checksDone
 	endLog()
-	if logErr := <-ended; err == nil {
+	if logErr := <-logDone; err == nil {
 		err = logErr
 	}
 	return err
@@ -74,14 +74,14 @@
 	return level.NewFilter(logger, level.Allow(level.ParseDefault(s.Log.Level, level.InfoValue())))
 }
 
-// reload checks the settings file at each SIGHUP. All settings in it describe the VM itself and its
-// addresses, so that a changed one takes effect with the next start.
-func reload(ctx context.Context, hups <-chan os.Signal, path string, logger log.Logger) {
+// checkSettingsOnSIGHUP validates the settings file on each SIGHUP and logs the result. It applies nothing:
+// the settings describe the VM and its addresses, so that changes take effect at the next start.
+func checkSettingsOnSIGHUP(ctx context.Context, sighups <-chan os.Signal, path string, logger log.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hups:
+		case <-sighups:
 		}
 		if _, err := conf.LoadEntry(path); err != nil {
 			level.Error(logger).Log("Msg", "changed settings are invalid", "Err", err)
--- a/cmds/inforce.go
+++ b/cmds/inforce.go
@@ -14,30 +14,31 @@
 )
 
 const (
-	// defaultWait is how long table apply waits: an edit is to be in force everywhere within 7 s.
+	// defaultWait is the default of table apply --wait: the time within which an edit must be in force on
+	// all entry VMs.
 	defaultWait = 7 * time.Second
-	// checkPause is the time between two rounds of questions.
-	checkPause = 100 * time.Millisecond
-	// askTimeout limits the question to one entry VM.
-	askTimeout = time.Second
+	// pollInterval is the time between two rounds of queries.
+	pollInterval = 100 * time.Millisecond
+	// queryTimeout limits each round of queries.
+	queryTimeout = time.Second
 )
 
-// vmVersion is an entry VM's answer about the version that it has in force.
+// vmVersion is the table version that an entry VM has in force, or the error of the query.
 type vmVersion struct {
 	id      core.VMID
 	version core.Version
 	err     error
 }
 
-// awaitInForce asks all entry VMs on the platform's list until they have the version, and reports the
-// ones that don't have it at the end of the wait.
+// awaitInForce polls all entry VMs on the platform's list until they have the version, and prints those
+// that don't have it when the wait has passed.
 func awaitInForce(ctx context.Context, d *deps, st core.Store, version core.Version, wait time.Duration) error {
 	if wait <= 0 {
 		return nil
 	}
 	vms, err := st.VMs(ctx)
 	if err != nil {
-		fmt.Fprintf(d.out, "where it is in force is not known: %v\n", err)
+		fmt.Fprintf(d.out, "cannot check on which entry VMs it is in force: %v\n", err)
 		return nil
 	}
 	vms = slices.DeleteFunc(vms, func(vm core.VM) bool { return vm.Upstream != "" || vm.Leaving })
@@ -45,7 +46,7 @@
 	defer func() { _ = client.Close() }()
 	began := time.Now()
 	for {
-		missing := lacking(askVersions(ctx, client, vms), version)
+		missing := describeMissing(queryVersions(ctx, client, vms), version)
 		if len(missing) == 0 {
 			fmt.Fprintf(d.out, "in force on all %d entry VMs after %v\n", len(vms), time.Since(began).Round(time.Millisecond))
 			return nil
@@ -54,35 +55,35 @@
 			fmt.Fprintf(d.out, "in force on %d of %d entry VMs; not on %s\n", len(vms)-len(missing), len(vms), strings.Join(missing, ", "))
 			return nil
 		}
-		time.Sleep(checkPause)
+		time.Sleep(pollInterval)
 	}
 }
 
-// askVersions asks all entry VMs at once for the version that each has in force.
-func askVersions(ctx context.Context, client *ctrl.Client, vms []core.VM) []vmVersion {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// queryVersions queries the table versions of all entry VMs concurrently.
+func queryVersions(ctx context.Context, client *ctrl.Client, vms []core.VM) []vmVersion {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	ends := make(chan vmVersion, len(vms))
+	results := make(chan vmVersion, len(vms))
 	for _, vm := range vms {
 		go func() {
-			// No table has a version above this one, so that the answer holds the version alone.
+			// No table is newer than the highest version, so that the answer omits the table's rows.
 			answer, err := client.Table(ctx, vm.Control, &peers.TableRequest{Have: math.MaxUint64})
 			if err != nil {
-				ends <- vmVersion{id: vm.ID, err: err}
+				results <- vmVersion{id: vm.ID, err: err}
 				return
 			}
-			ends <- vmVersion{id: vm.ID, version: answer.Version}
+			results <- vmVersion{id: vm.ID, version: answer.Version}
 		}()
 	}
 	answers := make([]vmVersion, 0, len(vms))
 	for range vms {
-		answers = append(answers, <-ends)
+		answers = append(answers, <-results)
 	}
 	return answers
 }
 
-// lacking describes the entry VMs that have a lower version or didn't answer.
-func lacking(answers []vmVersion, version core.Version) []string {
+// describeMissing lists the entry VMs that have a lower version or didn't answer, sorted by name.
+func describeMissing(answers []vmVersion, version core.Version) []string {
 	var missing []string
 	for _, a := range answers {
 		switch {
--- a/cmds/inspect.go
+++ b/cmds/inspect.go
@@ -12,10 +12,10 @@
 	"snipewall/conf"
 )
 
-// inspectTimeout limits a call to the admin port of an entry VM.
+// inspectTimeout limits a request to the admin port of an entry VM.
 const inspectTimeout = 5 * time.Second
 
-// adminFlags name the entry VM to look at.
+// adminFlags returns the flags that select an entry VM by its settings or its admin address.
 func adminFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "settings", Aliases: []string{"s"}, Usage: "settings `FILE` of the entry VM"},
@@ -41,13 +41,13 @@
 	}
 }
 
-// adminAddress returns the admin address that the flags name.
+// adminAddress returns the admin address that the flags select.
 func adminAddress(cmd *cli.Command) (string, error) {
 	if address := cmd.String("admin"); address != "" {
 		return address, nil
 	}
 	if cmd.String("settings") == "" {
-		return "", withCode(ExitInvalid, fmt.Errorf("name the entry VM by --settings or --admin"))
+		return "", withCode(ExitInvalid, fmt.Errorf("set either --settings or --admin"))
 	}
 	s, err := conf.Load(cmd.String("settings"))
 	if err != nil {
@@ -56,7 +56,7 @@
 	return s.Listen.Admin, nil
 }
 
-// inspect prints what the entry VM answers at the path.
+// inspect prints the response of the entry VM's admin port for the path.
 func inspect(ctx context.Context, d *deps, cmd *cli.Command, path string) error {
 	address, err := adminAddress(cmd)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return fetch(ctx, address, path, d.out)
 }
 
-// fetch copies the answer of the admin port to w.
+// fetch copies the response of the admin port for the path to w.
 func fetch(ctx context.Context, address, path string, w io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, inspectTimeout)
 	defer cancel()
--- a/cmds/serve.go
+++ b/cmds/serve.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// newLogger writes JSON lines to the standard error.
+// newLogger returns a logger that writes JSON lines to the standard error.
 func newLogger(s *conf.Settings) log.Logger {
 	logger := log.NewJSONLogger(log.NewSyncWriter(os.Stderr))
 	logger = log.With(logger, "Time", log.DefaultTimestampUTC, "VM", s.VM.ID)
--- a/cmds/settings.go
+++ b/cmds/settings.go
@@ -9,7 +9,7 @@
 	"snipewall/conf"
 )
 
-// settingsFlag names the settings file of the entry VM.
+// settingsFlag returns the flag for the settings file of an entry VM.
 func settingsFlag() cli.Flag {
 	return &cli.StringFlag{Name: "settings", Aliases: []string{"s"}, Usage: "settings `FILE` of the entry VM", Required: true}
 }
@@ -49,15 +49,15 @@
 	}
 }
 
-// entryFlag chooses the settings of an entry VM on a hosting platform.
+// entryFlag returns the flag that selects the settings of `snipewall entry`.
 func entryFlag() cli.Flag {
 	return &cli.BoolFlag{Name: "entry", Usage: "settings of `snipewall entry` instead of `snipewall serve`"}
 }
 
-// checkSettings checks each file and prints what is in it.
+// checkSettings checks each file and prints a summary of it. It stops at the first invalid file.
 func checkSettings(d *deps, files []string, check func(file string) (string, error)) error {
 	if len(files) == 0 {
-		return withCode(ExitInvalid, fmt.Errorf("settings check: name at least one FILE"))
+		return withCode(ExitInvalid, fmt.Errorf("settings check: want at least one FILE argument"))
 	}
 	for _, file := range files {
 		summary, err := check(file)
--- a/cmds/table.go
+++ b/cmds/table.go
@@ -48,13 +48,13 @@
 			},
 			{
 				Name:      "apply",
-				Usage:     "put a table file into force and report where it is",
+				Usage:     "apply a table file and report on which entry VMs it is in force",
 				ArgsUsage: "FILE",
 				Flags: []cli.Flag{
 					settingsFlag(),
-					&cli.Uint64Flag{Name: "base", Usage: "version that the file is based on, 0 for none, if the file doesn't name it"},
-					&cli.BoolFlag{Name: "merge", Usage: "combine the edit with edits of other rows made since its base"},
-					&cli.DurationFlag{Name: "wait", Value: defaultWait, Usage: "how long to wait until all entry VMs have it, 0 to return at once"},
+					&cli.Uint64Flag{Name: "base", Usage: "version that the file is based on, 0 for none; needed if the file doesn't contain it"},
+					&cli.BoolFlag{Name: "merge", Usage: "merge the edit with edits of other rows made since its base version"},
+					&cli.DurationFlag{Name: "wait", Value: defaultWait, Usage: "how long to wait until it is in force on all entry VMs, 0 to return at once"},
 				},
 				Action: func(ctx context.Context, cmd *cli.Command) error { return applyTable(ctx, d, cmd) },
 			},
@@ -62,14 +62,15 @@
 	}
 }
 
-// readTable reads the FILE argument, or the standard input if it is "-".
+// readTable reads the table file that the arguments name, or the standard input for "-". The second result
+// reports whether the file contains the version that it is based on.
 func readTable(d *deps, cmd *cli.Command) (table.Checkout, bool, error) {
 	name := cmd.Args().First()
 	var data []byte
 	var err error
 	switch {
 	case cmd.Args().Len() != 1:
-		return table.Checkout{}, false, withCode(ExitInvalid, fmt.Errorf("name one FILE"))
+		return table.Checkout{}, false, withCode(ExitInvalid, fmt.Errorf("want exactly one FILE argument"))
 	case name == "-":
 		data, err = io.ReadAll(d.in)
 	default:
@@ -78,14 +79,14 @@
 	if err != nil {
 		return table.Checkout{}, false, err
 	}
-	checkout, based, err := table.ParseCheckout(data)
+	checkout, hasVersion, err := table.ParseCheckout(data)
 	if err != nil {
 		return table.Checkout{}, false, withCode(ExitInvalid, fmt.Errorf("%s: %w", name, err))
 	}
-	return checkout, based, nil
+	return checkout, hasVersion, nil
 }
 
-// newEditor builds an editor on the platform that the settings name.
+// newEditor returns an editor of the table in the platform's store, and the store itself.
 func newEditor(cmd *cli.Command) (*table.Editor, core.Store, error) {
 	s, err := conf.Load(cmd.String("settings"))
 	if err != nil {
@@ -127,7 +128,7 @@
 	return printChanges(d, table.Diff(current.Table, checkout.Table))
 }
 
-// printChanges prints one change a line.
+// printChanges prints the changes, one per line.
 func printChanges(d *deps, changes table.Changes) error {
 	if len(changes) == 0 {
 		return nil
@@ -137,14 +138,14 @@
 }
 
 func applyTable(ctx context.Context, d *deps, cmd *cli.Command) error {
-	checkout, based, err := readTable(d, cmd)
+	checkout, hasVersion, err := readTable(d, cmd)
 	if err != nil {
 		return err
 	}
 	base := checkout.Version
-	if !based {
+	if !hasVersion {
 		if !cmd.IsSet("base") {
-			return withCode(ExitInvalid, errors.New("the file names no version: start from 'snipewall table show', or name it by --base"))
+			return withCode(ExitInvalid, errors.New("the file contains no version: start from the output of 'snipewall table show', or set --base"))
 		}
 		base = core.Version(cmd.Uint64("base"))
 	}
@@ -157,12 +158,12 @@
 		return withCode(editExitCode(err), err)
 	}
 	fmt.Fprintf(d.out, "accepted as version %d\n", applied.Version)
-	// The edit is in force whether or not the report can be written.
+	// The edit has been accepted, so that a failure to print must not look like a failed edit.
 	_ = printChanges(d, applied.Changes)
 	return awaitInForce(ctx, d, st, applied.Version, cmd.Duration("wait"))
 }
 
-// editExitCode tells a conflict and an unknown outcome from other failures.
+// editExitCode returns the exit code of a failed edit.
 func editExitCode(err error) int {
 	var conflict *table.ConflictError
 	var outcome *table.OutcomeError
