--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -9,7 +9,7 @@
 	is "gotest.tools/v3/assert/cmp"
 )
 
-const valid = `
+const validSettings = `
 [VM]
 ID = galveston-1
 FailureDomain = galveston
@@ -31,14 +31,14 @@
 `
 
 func TestParseFillsDefaults(t *testing.T) {
-	s, err := Parse("vm.ini", []byte(valid))
+	s, err := Parse("vm.ini", []byte(validSettings))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Failover.SuspectAfter, 1200*time.Millisecond)
 	assert.Equal(t, s.Upstreams[0].Connections, 20)
 	assert.DeepEqual(t, s.Peers.Seeds, []string{"127.0.0.1:7433", "127.0.0.1:8433"})
 }
 
-// Guards against a message that doesn't tell the operator what to change.
+// Guards against error messages that don't tell the operator which key to change and how.
 func TestParseNamesEachProblem(t *testing.T) {
 	tests := []struct {
 		name, from, to string
@@ -58,7 +58,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := Parse("vm.ini", []byte(strings.Replace(valid, tt.from, tt.to, 1)))
+			_, err := Parse("vm.ini", []byte(strings.Replace(validSettings, tt.from, tt.to, 1)))
 			assert.Assert(t, err != nil)
 			for _, want := range append(tt.want, "vm.ini") {
 				assert.Check(t, is.Contains(err.Error(), want))
@@ -67,9 +67,9 @@
 	}
 }
 
-// Guards against a crash on a damaged file.
+// Guards against a panic on a malformed file.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(valid))
+	f.Add([]byte(validSettings))
 	f.Add([]byte("[VM\nID"))
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		_, _ = Parse("vm.ini", data)
--- a/conf/doc.go
+++ b/conf/doc.go
@@ -1,7 +1,7 @@
 // Package conf reads the settings of an entry VM from an INI file.
 //
-// The whole file is checked before anything starts. Each problem names the file, the section, the
-// key, the value and what would be accepted, and all problems are reported together.
+// The whole file is validated before anything starts, and all problems are reported together. Each names
+// the file, the section, the key, the value and the accepted values.
 //
 // # Usage
 //
@@ -10,7 +10,7 @@
 //		return err
 //	}
 //
-// A file has one section for each upstream, named "Upstream ID":
+// Each upstream has a section of its own, named "Upstream ID":
 //
 //	[VM]
 //	ID = galveston-1
--- a/conf/entry.go
+++ b/conf/entry.go
@@ -14,40 +14,40 @@
 	"snipewall/core"
 )
 
-// Entry is the settings of an entry VM on a hosting platform, where upstreams are discovered and the
-// operators' configuration comes from the platform's store.
+// Entry holds the settings of an entry VM on a hosting platform, where the upstreams and the operators'
+// configuration are read from the platform's store.
 type Entry struct {
 	VM     VM
 	Listen EntryListen
 	// Store is the address of the platform's metadata store, Promotion that of its promotion call.
 	Store, Promotion string
-	// Regions holds the region of each failure domain.
+	// Regions maps each failure domain to its region.
 	Regions map[core.FailureDomain]core.Region
-	// Grace is the time between SIGTERM and SIGKILL.
+	// Grace is the time between SIGTERM and SIGKILL, in which the process must stop.
 	Grace time.Duration
 	// Memory is the memory limit of the process in bytes.
 	Memory int64
 	Log    Log
 }
 
-// EntryListen holds the addresses, host:port.
+// EntryListen holds the listen addresses, host:port.
 type EntryListen struct {
-	// Callers takes connections of callers.
+	// Callers accepts callers' connections.
 	Callers string
-	// Ready answers the load balancer's probe.
+	// Ready serves the load balancer's readiness probe over HTTP.
 	Ready string
-	// Metrics serves metrics and state dumps.
+	// Metrics serves metrics and state dumps over HTTP.
 	Metrics string
-	// Relay takes statements that other entry VMs pass on.
+	// Relay accepts statements forwarded by other entry VMs.
 	Relay string
-	// Control takes control calls of other entry VMs.
+	// Control accepts control calls of other entry VMs.
 	Control string
 }
 
-// entryKey describes one key of an Entry. Keys without an initial value are required.
+// entryKey describes a key of an Entry's file. Keys without a default are required.
 type entryKey struct {
-	section, name, initial, accepts, doc string
-	set                                  func(e *Entry, value string) bool
+	section, name, defaultValue, accepts, doc string
+	set                                       func(e *Entry, value string) bool
 }
 
 const (
@@ -60,9 +60,9 @@
 	{"VM", "FailureDomain", "", acceptsName, "Failure domain of this entry VM.", func(e *Entry, v string) bool { return setName((*string)(&e.VM.FailureDomain), v) }},
 	{"VM", "Region", "", acceptsName, "Region of the failure domain.", func(e *Entry, v string) bool { return setName((*string)(&e.VM.Region), v) }},
 	{"Listen", "Callers", "", acceptsAddress, "Address for callers, line protocol.", func(e *Entry, v string) bool { return setAddress(&e.Listen.Callers, v) }},
-	{"Listen", "Ready", "", acceptsAddress, "Address for the load balancer's probe, HTTP.", func(e *Entry, v string) bool { return setAddress(&e.Listen.Ready, v) }},
+	{"Listen", "Ready", "", acceptsAddress, "Address for the load balancer's readiness probe, HTTP.", func(e *Entry, v string) bool { return setAddress(&e.Listen.Ready, v) }},
 	{"Listen", "Metrics", "", acceptsAddress, "Address for metrics and state dumps, HTTP.", func(e *Entry, v string) bool { return setAddress(&e.Listen.Metrics, v) }},
-	{"Listen", "Relay", "", acceptsAddress, "Address for statements that other entry VMs pass on.", func(e *Entry, v string) bool { return setAddress(&e.Listen.Relay, v) }},
+	{"Listen", "Relay", "", acceptsAddress, "Address for statements forwarded by other entry VMs.", func(e *Entry, v string) bool { return setAddress(&e.Listen.Relay, v) }},
 	{"Listen", "Control", "", acceptsAddress, "Address for control calls of other entry VMs.", func(e *Entry, v string) bool { return setAddress(&e.Listen.Control, v) }},
 	{"Store", "Address", "", acceptsAddress, "Address of the platform's metadata store.", func(e *Entry, v string) bool { return setAddress(&e.Store, v) }},
 	{"Promotion", "Address", "", acceptsAddress, "Address of the platform's promotion call.", func(e *Entry, v string) bool { return setAddress(&e.Promotion, v) }},
@@ -82,10 +82,10 @@
 	}},
 }
 
-// regionsSection lists the failure domains with their regions.
+// regionsSection is the section that maps failure domains to regions. Its keys are failure domains.
 const regionsSection = "Regions"
 
-// EntryReference returns the documentation of all keys with their defaults, as an INI file.
+// EntryReference documents all keys of an Entry's file with their defaults, as an INI file.
 func EntryReference() string {
 	var b strings.Builder
 	section := ""
@@ -94,13 +94,13 @@
 			section = k.section
 			fmt.Fprintf(&b, "[%s]\n", section)
 		}
-		writeKey(&b, k.doc, k.accepts, k.name, k.initial, k.initial == "")
+		writeKey(&b, k.doc, k.accepts, k.name, k.defaultValue, k.defaultValue == "")
 	}
 	fmt.Fprintf(&b, "[%s]\n# Region of each failure domain, one a line.\n# DOMAIN = REGION\n", regionsSection)
 	return b.String()
 }
 
-// LoadEntry reads and checks the file. The error joins all problems found.
+// LoadEntry reads and validates the file. The error joins all problems found, as *Problem.
 func LoadEntry(path string) (*Entry, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -109,8 +109,8 @@
 	return ParseEntry(path, data)
 }
 
-// ParseEntry checks the content of a settings file. The file's name is used in messages only.
-// Sections and keys that aren't known are ignored: the platform may add some at any time.
+// ParseEntry parses and validates the content of a settings file. The name is used in messages only.
+// Unknown sections and keys are ignored, since the platform may add some at any time.
 func ParseEntry(name string, data []byte) (*Entry, error) {
 	file, err := ini.Load(data)
 	if err != nil {
@@ -119,7 +119,7 @@
 	e := &Entry{Regions: make(map[core.FailureDomain]core.Region)}
 	var problems []error
 	for _, k := range entryKeys {
-		value := file.Section(k.section).Key(k.name).MustString(k.initial)
+		value := file.Section(k.section).Key(k.name).MustString(k.defaultValue)
 		if !k.set(e, value) {
 			problems = append(problems, &Problem{File: name, Section: k.section, Key: k.name, Value: value, Accepts: k.accepts})
 		}
--- a/conf/entry_test.go
+++ b/conf/entry_test.go
@@ -11,7 +11,7 @@
 	"snipewall/core"
 )
 
-const entryText = `
+const validEntry = `
 [VM]
 ID = vm-1
 FailureDomain = here
@@ -34,9 +34,9 @@
 Key = ignored
 `
 
-// Guards against settings that are read wrong, and against failing on fields that come later.
+// Guards against misread settings, and against rejecting sections that the platform adds later.
 func TestParseEntry(t *testing.T) {
-	e, err := ParseEntry("test", []byte(entryText))
+	e, err := ParseEntry("test", []byte(validEntry))
 	assert.NilError(t, err)
 	assert.Equal(t, e.VM.ID, core.VMID("vm-1"))
 	assert.Equal(t, e.Listen.Relay, "10.0.0.1:4")
@@ -45,32 +45,32 @@
 	assert.DeepEqual(t, e.Regions, map[core.FailureDomain]core.Region{"there": "away", "here": "home"})
 }
 
-// Guards against a process that starts with settings it can't work with. The message names them all.
+// Guards against accepting invalid settings, and against reporting only the first problem.
 func TestParseEntryProblems(t *testing.T) {
-	text := strings.Replace(entryText, "10.0.0.2:1", "nowhere", 1)
+	text := strings.Replace(validEntry, "10.0.0.2:1", "nowhere", 1)
 	text = strings.Replace(text, "GraceSeconds = 4.5", "GraceSeconds = -1", 1)
 	_, err := ParseEntry("test", []byte(text))
 	assert.ErrorContains(t, err, "section [Store], key Address")
 	assert.ErrorContains(t, err, "section [Stop], key GraceSeconds")
 }
 
-// Guards against a template that lacks a key which the program requires.
-func TestTemplateHasAllKeys(t *testing.T) {
+// Guards against a platform template that lacks a required key.
+func TestTemplateHasRequiredKeys(t *testing.T) {
 	data, err := os.ReadFile("../deploy/entry.ini")
 	assert.NilError(t, err)
 	for _, k := range entryKeys {
-		if k.initial == "" {
+		if k.defaultValue == "" {
 			assert.Assert(t, strings.Contains(string(data), "\n"+k.name+" = "), "%s.%s", k.section, k.name)
 		}
 	}
 }
 
-// Guards against a reference that can't be used as settings once the required keys are filled in.
+// Guards against a reference that lacks a key, or isn't valid once the required keys are set.
 func TestEntryReferenceIsValid(t *testing.T) {
 	text := EntryReference()
 	for _, k := range entryKeys {
 		assert.Assert(t, strings.Contains(text, k.doc), k.name)
-		if k.initial != "" {
+		if k.defaultValue != "" {
 			continue
 		}
 		value := "10.0.0.1:1"
--- a/conf/keys.go
+++ b/conf/keys.go
@@ -10,13 +10,13 @@
 	"snipewall/core"
 )
 
-// key describes one key of the file: how it is read, checked and documented.
+// key describes a key of the file: how it is parsed, validated and documented.
 type key struct {
 	section, name string
-	// initial is the default; required keys have none.
-	initial  string
-	required bool
-	// accepts says what a valid value is, for error messages and the reference.
+	// defaultValue is empty for required keys.
+	defaultValue string
+	required     bool
+	// accepts describes the valid values in error messages and in the reference.
 	accepts string
 	doc     string
 	set     func(s *Settings, value string) bool
@@ -30,7 +30,7 @@
 	acceptsBool    = "true or false"
 )
 
-// keys lists every key outside of the upstreams' sections.
+// keys lists all keys outside of the upstreams' sections.
 var keys = []key{
 	text("VM", "ID", "", "Name of this entry VM, unique in the deployment.", func(s *Settings) *string { return (*string)(&s.VM.ID) }),
 	text("VM", "FailureDomain", "", "Failure domain of this entry VM.", func(s *Settings) *string { return (*string)(&s.VM.FailureDomain) }),
@@ -40,46 +40,46 @@
 	address("Listen", "Relay", "Address for requests forwarded by other entry VMs.", func(s *Settings) *string { return &s.Listen.Relay }),
 	address("Listen", "Admin", "Address for health, readiness, metrics and state dumps, HTTP.", func(s *Settings) *string { return &s.Listen.Admin }),
 	address("Platform", "Address", "Address of the platform's key-value service.", func(s *Settings) *string { return &s.Platform.Address }),
-	duration("Platform", "Timeout", "2s", time.Millisecond, time.Minute, "Limit of each call.", func(s *Settings) *time.Duration { return &s.Platform.Timeout }),
-	duration("Platform", "ListInterval", "5s", 100*time.Millisecond, time.Hour, "Time between two readings of the list of VMs.", func(s *Settings) *time.Duration { return &s.Platform.ListInterval }),
+	duration("Platform", "Timeout", "2s", time.Millisecond, time.Minute, "Time limit of each call.", func(s *Settings) *time.Duration { return &s.Platform.Timeout }),
+	duration("Platform", "ListInterval", "5s", 100*time.Millisecond, time.Hour, "Interval at which the list of VMs is read.", func(s *Settings) *time.Duration { return &s.Platform.ListInterval }),
 	{
 		section: "Peers", name: "Seeds", accepts: "addresses HOST:PORT separated by commas, or nothing",
-		doc: "Control addresses that are tried when the platform's list can't be read.", set: setSeeds,
+		doc: "Control addresses to try when the platform's list of VMs can't be read.", set: setSeeds,
 	},
-	duration("Peers", "PingInterval", "500ms", 10*time.Millisecond, time.Minute, "Time between two pings.", func(s *Settings) *time.Duration { return &s.Peers.PingInterval }),
-	duration("Failover", "PollInterval", "100ms", 10*time.Millisecond, 10*time.Second, "Time between two polls of an idle group.", func(s *Settings) *time.Duration { return &s.Failover.PollInterval }),
+	duration("Peers", "PingInterval", "500ms", 10*time.Millisecond, time.Minute, "Interval of the pings between entry VMs.", func(s *Settings) *time.Duration { return &s.Peers.PingInterval }),
+	duration("Failover", "PollInterval", "100ms", 10*time.Millisecond, 10*time.Second, "Interval at which an idle group is polled.", func(s *Settings) *time.Duration { return &s.Failover.PollInterval }),
 	duration("Failover", "SuspectAfter", "1200ms", 100*time.Millisecond, time.Minute, "Time without a status after which a primary counts as failed.", func(s *Settings) *time.Duration { return &s.Failover.SuspectAfter }),
-	duration("Failover", "RefusedAfter", "300ms", 50*time.Millisecond, time.Minute, "Time of refused connections after which a primary counts as failed.", func(s *Settings) *time.Duration { return &s.Failover.RefusedAfter }),
-	text("Callers", "DefaultKind", "default", "Kind of requests that name none.", func(s *Settings) *string { return (*string)(&s.Callers.DefaultKind) }),
-	number("Callers", "MaxMessage", "16777216", 1024, 1<<30, "Largest message in bytes.", func(s *Settings) *int { return &s.Callers.MaxMessage }),
-	number("Callers", "MaxConnections", "20000", 1, 1<<20, "Callers that may be connected at once.", func(s *Settings) *int { return &s.Callers.MaxConnections }),
-	duration("Stop", "Grace", "2s", 0, time.Minute, "Time between failing readiness and refusing new work.", func(s *Settings) *time.Duration { return &s.Stop.Grace }),
-	duration("Stop", "Timeout", "30s", time.Second, time.Hour, "Time in which requests in flight are finished.", func(s *Settings) *time.Duration { return &s.Stop.Timeout }),
-	file("CallerTLS", "Certificate", "PEM certificate shown to callers.", func(s *Settings) *string { return &s.CallerTLS.Certificate }),
-	file("CallerTLS", "Key", "PEM key of the certificate.", func(s *Settings) *string { return &s.CallerTLS.Key }),
+	duration("Failover", "RefusedAfter", "300ms", 50*time.Millisecond, time.Minute, "Time of refusing connections after which a primary counts as failed.", func(s *Settings) *time.Duration { return &s.Failover.RefusedAfter }),
+	text("Callers", "DefaultKind", "default", "Kind of requests that don't specify one.", func(s *Settings) *string { return (*string)(&s.Callers.DefaultKind) }),
+	number("Callers", "MaxMessage", "16777216", 1024, 1<<30, "Maximum message size in bytes.", func(s *Settings) *int { return &s.Callers.MaxMessage }),
+	number("Callers", "MaxConnections", "20000", 1, 1<<20, "Maximum number of concurrent callers' connections.", func(s *Settings) *int { return &s.Callers.MaxConnections }),
+	duration("Stop", "Grace", "2s", 0, time.Minute, "Time between turning readiness off and refusing new work.", func(s *Settings) *time.Duration { return &s.Stop.Grace }),
+	duration("Stop", "Timeout", "30s", time.Second, time.Hour, "Time limit for finishing requests in flight.", func(s *Settings) *time.Duration { return &s.Stop.Timeout }),
+	file("CallerTLS", "Certificate", "File with the PEM certificate presented to callers.", func(s *Settings) *string { return &s.CallerTLS.Certificate }),
+	file("CallerTLS", "Key", "File with the PEM key of the certificate.", func(s *Settings) *string { return &s.CallerTLS.Key }),
 	{
-		section: "CallerTLS", name: "Required", initial: "false", accepts: acceptsBool,
-		doc: "Whether callers without TLS are refused.",
+		section: "CallerTLS", name: "Required", defaultValue: "false", accepts: acceptsBool,
+		doc: "Whether callers without TLS are rejected.",
 		set: func(s *Settings, v string) bool { return setBool(&s.CallerTLS.Required, v) },
 	},
-	file("UpstreamTLS", "CA", "PEM file with the authorities of the upstreams' certificates.", func(s *Settings) *string { return &s.UpstreamTLS.CA }),
+	file("UpstreamTLS", "CA", "File with the PEM certificate authorities of the upstreams.", func(s *Settings) *string { return &s.UpstreamTLS.CA }),
 	{
 		section: "UpstreamTLS", name: "ServerName", accepts: "a host name, or nothing",
-		doc: "Name in the upstreams' certificates.",
+		doc: "Name to verify in the upstreams' certificates, by default the host of the address.",
 		set: func(s *Settings, v string) bool { s.UpstreamTLS.ServerName = v; return true },
 	},
 	{
-		section: "Log", name: "Level", initial: "info", accepts: acceptsLevel, doc: "Lowest level that is logged.",
+		section: "Log", name: "Level", defaultValue: "info", accepts: acceptsLevel, doc: "Lowest level that is logged.",
 		set: setLevel,
 	},
 }
 
-// upstreamKey describes one key of an upstream's section.
+// upstreamKey describes a key of the upstreams' sections.
 type upstreamKey struct {
-	name, initial string
-	required      bool
-	accepts, doc  string
-	set           func(u *core.UpstreamInfo, value string) bool
+	name, defaultValue string
+	required           bool
+	accepts, doc       string
+	set                func(u *core.UpstreamInfo, value string) bool
 }
 
 var upstreamKeys = []upstreamKey{
@@ -87,14 +87,14 @@
 	{"Address", "", true, acceptsAddress, "Address of the upstream.", func(u *core.UpstreamInfo, v string) bool { return setAddress(&u.Address, v) }},
 	{"FailureDomain", "", true, acceptsName, "Failure domain of the upstream.", func(u *core.UpstreamInfo, v string) bool { return setName((*string)(&u.FailureDomain), v) }},
 	{"Region", "", true, acceptsName, "Region of the failure domain.", func(u *core.UpstreamInfo, v string) bool { return setName((*string)(&u.Region), v) }},
-	{"Slots", "3", false, "a number from 1 to 1000", "Statements that may execute at once.", func(u *core.UpstreamInfo, v string) bool { return setNumber(&u.Slots, v, 1, 1000) }},
+	{"Slots", "3", false, "a number from 1 to 1000", "Number of statements that the upstream executes concurrently.", func(u *core.UpstreamInfo, v string) bool { return setNumber(&u.Slots, v, 1, 1000) }},
 	{"Connections", "20", false, "a number from 8 to 10000", "Connection limit of the upstream.", func(u *core.UpstreamInfo, v string) bool { return setNumber(&u.Connections, v, 8, 10000) }},
-	{"ConnectTime", "10ms", false, "a duration from 0s to 1m", "How long a new connection takes.", func(u *core.UpstreamInfo, v string) bool { return setDuration(&u.ConnectTime, v, 0, time.Minute) }},
+	{"ConnectTime", "10ms", false, "a duration from 0s to 1m", "Time that opening a connection takes.", func(u *core.UpstreamInfo, v string) bool { return setDuration(&u.ConnectTime, v, 0, time.Minute) }},
 }
 
-func text(section, name, initial, doc string, field func(*Settings) *string) key {
+func text(section, name, defaultValue, doc string, field func(*Settings) *string) key {
 	return key{
-		section: section, name: name, initial: initial, required: initial == "", accepts: acceptsName, doc: doc,
+		section: section, name: name, defaultValue: defaultValue, required: defaultValue == "", accepts: acceptsName, doc: doc,
 		set: func(s *Settings, v string) bool { return setName(field(s), v) },
 	}
 }
@@ -113,16 +113,16 @@
 	}
 }
 
-func duration(section, name, initial string, low, high time.Duration, doc string, field func(*Settings) *time.Duration) key {
+func duration(section, name, defaultValue string, low, high time.Duration, doc string, field func(*Settings) *time.Duration) key {
 	return key{
-		section: section, name: name, initial: initial, accepts: fmt.Sprintf("a duration from %v to %v", low, high), doc: doc,
+		section: section, name: name, defaultValue: defaultValue, accepts: fmt.Sprintf("a duration from %v to %v", low, high), doc: doc,
 		set: func(s *Settings, v string) bool { return setDuration(field(s), v, low, high) },
 	}
 }
 
-func number(section, name, initial string, low, high int, doc string, field func(*Settings) *int) key {
+func number(section, name, defaultValue string, low, high int, doc string, field func(*Settings) *int) key {
 	return key{
-		section: section, name: name, initial: initial, accepts: fmt.Sprintf("a number from %d to %d", low, high), doc: doc,
+		section: section, name: name, defaultValue: defaultValue, accepts: fmt.Sprintf("a number from %d to %d", low, high), doc: doc,
 		set: func(s *Settings, v string) bool { return setNumber(field(s), v, low, high) },
 	}
 }
--- a/conf/load.go
+++ b/conf/load.go
@@ -12,13 +12,13 @@
 	"snipewall/core"
 )
 
-// upstreamPrefix starts the name of an upstream's section.
+// upstreamPrefix is the prefix of the names of the upstreams' sections; the upstream's id follows.
 const upstreamPrefix = "Upstream "
 
-// Problem is one fault of a settings file.
+// Problem is an error in a settings file. Key is empty if it concerns a whole section.
 type Problem struct {
 	File, Section, Key, Value string
-	// Accepts says what would be accepted.
+	// Accepts describes the valid values.
 	Accepts string
 }
 
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("%s: got %q, want %s", where, p.Value, p.Accepts)
 }
 
-// Load reads and checks the file. The error joins all problems found.
+// Load reads and validates the file. The error joins all problems found, as *Problem.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -39,7 +39,8 @@
 	return Parse(path, data)
 }
 
-// Parse checks the content of a settings file. The file's name is used in messages only.
+// Parse parses and validates the content of a settings file. The name is used in messages only. Unlike
+// ParseEntry, it rejects unknown sections and keys.
 func Parse(name string, data []byte) (*Settings, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{AllowNonUniqueSections: true, SkipUnrecognizableLines: false}, data)
 	if err != nil {
@@ -49,14 +50,14 @@
 	l.checkNames()
 	l.readKeys()
 	l.readUpstreams()
-	l.checkWhole()
+	l.checkCombinations()
 	if len(l.problems) > 0 {
 		return nil, core.ErrSettings.Wrap(errors.Join(l.problems...))
 	}
 	return l.settings, nil
 }
 
-// loader reads one file and collects its problems.
+// loader parses a file and collects its problems.
 type loader struct {
 	name     string
 	file     *ini.File
@@ -64,11 +65,11 @@
 	problems []error
 }
 
-func (l *loader) report(section, key, value, accepts string) {
+func (l *loader) addProblem(section, key, value, accepts string) {
 	l.problems = append(l.problems, &Problem{File: l.name, Section: section, Key: key, Value: value, Accepts: accepts})
 }
 
-// checkNames reports sections and keys that don't exist, and sections that stand twice.
+// checkNames reports unknown sections and keys, and duplicate sections.
 func (l *loader) checkNames() {
 	known := make(map[string][]string)
 	for _, k := range keys {
@@ -89,16 +90,16 @@
 			continue
 		}
 		if !ok {
-			l.report(name, "", name, "one of "+sectionNames())
+			l.addProblem(name, "", name, "one of "+sectionNames())
 			continue
 		}
 		if seen[name] {
-			l.report(name, "", name, "each section once")
+			l.addProblem(name, "", name, "each section once")
 		}
 		seen[name] = true
 		for _, k := range section.Keys() {
 			if !slices.Contains(names, k.Name()) {
-				l.report(name, k.Name(), k.Name(), "one of the keys "+strings.Join(names, ", "))
+				l.addProblem(name, k.Name(), k.Name(), "one of the keys "+strings.Join(names, ", "))
 			}
 		}
 	}
@@ -116,7 +117,7 @@
 
 func (l *loader) readKeys() {
 	for _, k := range keys {
-		value := k.initial
+		value := k.defaultValue
 		if section, err := l.file.GetSection(k.section); err == nil && section.HasKey(k.name) {
 			value = section.Key(k.name).String()
 		}
@@ -124,7 +125,7 @@
 			continue
 		}
 		if !k.set(l.settings, value) {
-			l.report(k.section, k.name, value, k.accepts)
+			l.addProblem(k.section, k.name, value, k.accepts)
 		}
 	}
 }
@@ -137,53 +138,53 @@
 		}
 		var u core.UpstreamInfo
 		if !setName((*string)(&u.ID), id) {
-			l.report(section.Name(), "", id, acceptsName)
+			l.addProblem(section.Name(), "", id, acceptsName)
 		}
 		for _, k := range upstreamKeys {
-			value := k.initial
+			value := k.defaultValue
 			if section.HasKey(k.name) {
 				value = section.Key(k.name).String()
 			}
 			if !k.set(&u, value) {
-				l.report(section.Name(), k.name, value, k.accepts)
+				l.addProblem(section.Name(), k.name, value, k.accepts)
 			}
 		}
 		l.settings.Upstreams = append(l.settings.Upstreams, u)
 	}
 }
 
-// checkWhole reports problems that no single key shows.
-func (l *loader) checkWhole() {
+// checkCombinations reports values that are valid by themselves but not together.
+func (l *loader) checkCombinations() {
 	s := l.settings
 	if len(s.Upstreams) == 0 {
-		l.report(upstreamPrefix+"ID", "", "", "at least one upstream")
+		l.addProblem(upstreamPrefix+"ID", "", "", "at least one upstream")
 	}
 	addresses := make(map[string]core.UpstreamID)
 	groups := make(map[core.GroupID]int)
 	for _, u := range s.Upstreams {
 		if other, ok := addresses[u.Address]; ok && u.Address != "" {
-			l.report(upstreamPrefix+string(u.ID), "Address", u.Address, "an address of its own; upstream "+string(other)+" has this one")
+			l.addProblem(upstreamPrefix+string(u.ID), "Address", u.Address, "an address of its own; upstream "+string(other)+" has this one")
 		}
 		addresses[u.Address] = u.ID
 		groups[u.Group]++
 	}
 	for _, u := range s.Upstreams {
 		if n := groups[u.Group]; n%2 == 0 {
-			l.report(upstreamPrefix+string(u.ID), "Group", string(u.Group), fmt.Sprintf("a group with an odd number of upstreams, this one has %d", n))
+			l.addProblem(upstreamPrefix+string(u.ID), "Group", string(u.Group), fmt.Sprintf("a group with an odd number of upstreams, this one has %d", n))
 		}
 	}
 	if (s.CallerTLS.Certificate == "") != (s.CallerTLS.Key == "") {
-		l.report("CallerTLS", "Key", s.CallerTLS.Key, "both Certificate and Key, or none")
+		l.addProblem("CallerTLS", "Key", s.CallerTLS.Key, "both Certificate and Key, or none")
 	}
 	if s.CallerTLS.Required && s.CallerTLS.Certificate == "" {
-		l.report("CallerTLS", "Required", "true", "false as long as there is no Certificate")
+		l.addProblem("CallerTLS", "Required", "true", "false as long as there is no Certificate")
 	}
 	if s.Failover.PollInterval*3 > s.Failover.SuspectAfter {
-		l.report("Failover", "SuspectAfter", s.Failover.SuspectAfter.String(), "at least three times PollInterval")
+		l.addProblem("Failover", "SuspectAfter", s.Failover.SuspectAfter.String(), "at least three times PollInterval")
 	}
 }
 
-// Reference returns the documentation of all keys with their defaults, as an INI file.
+// Reference documents all keys with their defaults, as an INI file.
 func Reference() string {
 	var b strings.Builder
 	section := ""
@@ -192,19 +193,19 @@
 			section = k.section
 			fmt.Fprintf(&b, "[%s]\n", section)
 		}
-		writeKey(&b, k.doc, k.accepts, k.name, k.initial, k.required)
+		writeKey(&b, k.doc, k.accepts, k.name, k.defaultValue, k.required)
 	}
 	fmt.Fprintf(&b, "[%sID]\n", upstreamPrefix)
 	for _, k := range upstreamKeys {
-		writeKey(&b, k.doc, k.accepts, k.name, k.initial, k.required)
+		writeKey(&b, k.doc, k.accepts, k.name, k.defaultValue, k.required)
 	}
 	return b.String()
 }
 
-func writeKey(b *strings.Builder, doc, accepts, name, initial string, required bool) {
+func writeKey(b *strings.Builder, doc, accepts, name, defaultValue string, required bool) {
 	if required {
 		fmt.Fprintf(b, "# %s Accepts %s. Required.\n# %s =\n\n", doc, accepts, name)
 		return
 	}
-	fmt.Fprintf(b, "# %s Accepts %s.\n%s = %s\n\n", doc, accepts, name, initial)
+	fmt.Fprintf(b, "# %s Accepts %s.\n%s = %s\n\n", doc, accepts, name, defaultValue)
 }
--- a/conf/settings.go
+++ b/conf/settings.go
@@ -6,8 +6,8 @@
 	"snipewall/core"
 )
 
-// Settings is everything that an entry VM learns from its file. Reference lists each key with its
-// default.
+// Settings holds the settings of an entry VM that lists its upstreams in its file. Reference documents each
+// key with its default.
 type Settings struct {
 	VM        VM
 	Listen    Listen
@@ -23,90 +23,91 @@
 	Upstreams   []core.UpstreamInfo
 }
 
-// VM says which entry VM this is.
+// VM identifies the entry VM.
 type VM struct {
 	ID            core.VMID
 	FailureDomain core.FailureDomain
 	Region        core.Region
 }
 
-// Listen holds the addresses, host:port.
+// Listen holds the listen addresses, host:port.
 type Listen struct {
-	// Callers takes PostgreSQL connections.
+	// Callers accepts PostgreSQL connections.
 	Callers string
-	// Control takes net/rpc calls of other entry VMs.
+	// Control accepts net/rpc calls of other entry VMs.
 	Control string
-	// Relay takes forwarded requests of other entry VMs.
+	// Relay accepts requests forwarded by other entry VMs.
 	Relay string
 	// Admin serves health, readiness, metrics and state dumps over HTTP.
 	Admin string
 }
 
-// Platform says how to reach the platform's key-value service.
+// Platform configures the client of the platform's key-value service.
 type Platform struct {
 	// Address is host:port.
 	Address string
-	// Timeout limits each call other than a watch.
+	// Timeout limits each call except watches.
 	Timeout time.Duration
-	// ListInterval is the time between two readings of the list of VMs.
+	// ListInterval is the interval at which the list of VMs is read.
 	ListInterval time.Duration
 }
 
 // Peers configures the membership of entry VMs.
 type Peers struct {
-	// Seeds are control addresses that are tried when the platform's list can't be read.
+	// Seeds are control addresses to try when the platform's list of VMs can't be read.
 	Seeds []string
-	// PingInterval is the time between two pings.
+	// PingInterval is the interval of the pings between entry VMs.
 	PingInterval time.Duration
 }
 
 // Failover configures the detection of failed primaries.
 type Failover struct {
-	// PollInterval is the time between two polls of an idle group.
+	// PollInterval is the interval at which an idle group is polled.
 	PollInterval time.Duration
-	// SuspectAfter is the time without a successful status after which a primary counts as failed.
+	// SuspectAfter is the time without a successful status call after which a primary counts as failed.
 	SuspectAfter time.Duration
-	// RefusedAfter is the same for a primary that refuses connections.
+	// RefusedAfter is the same time for a primary that refuses connections.
 	RefusedAfter time.Duration
 }
 
 // Callers configures the listener for callers.
 type Callers struct {
-	// DefaultKind is the kind of requests that name none.
+	// DefaultKind is the kind of requests that don't specify one.
 	DefaultKind core.Kind
-	// MaxMessage is the largest message in bytes.
+	// MaxMessage is the maximum message size in bytes.
 	MaxMessage int
-	// MaxConnections is the number of callers that may be connected at once.
+	// MaxConnections is the maximum number of concurrent connections.
 	MaxConnections int
 }
 
-// Stop configures a planned stop.
+// Stop configures the graceful shutdown.
 type Stop struct {
-	// Grace is the time between failing readiness and refusing new work, in which the balancer
-	// takes the entry VM out.
+	// Grace is the time between turning readiness off and refusing new work, in which the load balancer
+	// removes the entry VM.
 	Grace time.Duration
-	// Timeout limits the time in which requests in flight are finished.
+	// Timeout limits the draining of requests in flight.
 	Timeout time.Duration
 }
 
-// CallerTLS holds the files for TLS towards callers. Empty means no TLS.
+// CallerTLS configures TLS for callers. TLS is off if Certificate and Key are empty.
 type CallerTLS struct {
 	Certificate string
 	Key         string
-	// Required refuses callers without TLS.
+	// Required rejects callers without TLS.
 	Required bool
 }
 
-// UpstreamTLS holds the files for TLS towards upstreams. Empty means no TLS.
+// UpstreamTLS configures TLS for upstreams. TLS is off if CA is empty.
 type UpstreamTLS struct {
-	// CA is a PEM file with the authorities that sign the upstreams' certificates.
+	// CA is the path of a PEM file with the certificate authorities of the upstreams.
 	CA string
-	// ServerName is the name in the upstreams' certificates; empty means the host of the address.
+	// ServerName is the name to verify in the upstreams' certificates. If empty, it is the host of the
+	// upstream's address.
 	ServerName string
 }
 
-// Log configures the log.
+// Log configures logging.
 type Log struct {
-	// Level is debug, info, warn or error.
+	// Level is the lowest level that is logged: debug, info, warn or error.
 	Level string
 }
