--- a/conf/keys.go
+++ b/conf/keys.go
@@ -87,7 +87,7 @@
 	{"Address", "", true, acceptsAddress, "Address of the upstream.", func(u *core.UpstreamInfo, v string) bool { return setAddress(&u.Address, v) }},
 	{"FailureDomain", "", true, acceptsName, "Failure domain of the upstream.", func(u *core.UpstreamInfo, v string) bool { return setName((*string)(&u.FailureDomain), v) }},
 	{"Region", "", true, acceptsName, "Region of the failure domain.", func(u *core.UpstreamInfo, v string) bool { return setName((*string)(&u.Region), v) }},
-	{"Slots", "3", false, "a number from 1 to 1000", "Number of statements that the upstream executes concurrently.", func(u *core.UpstreamInfo, v string) bool { return setNumber(&u.Slots, v, 1, 1000) }},
+	{"Slots", "3", false, "a number from 1 to 1000", "Maximum number of statements that execute concurrently.", func(u *core.UpstreamInfo, v string) bool { return setNumber(&u.Slots, v, 1, 1000) }},
 	{"Connections", "20", false, "a number from 8 to 10000", "Connection limit of the upstream.", func(u *core.UpstreamInfo, v string) bool { return setNumber(&u.Connections, v, 8, 10000) }},
 	{"ConnectTime", "10ms", false, "a duration from 0s to 1m", "Time that opening a connection takes.", func(u *core.UpstreamInfo, v string) bool { return setDuration(&u.ConnectTime, v, 0, time.Minute) }},
 }
