--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -24,7 +24,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// startTimeout limits the start of a deployment.
+// startTimeout limits the start of a deployment, and each step of a test that has no limit of its own.
 const startTimeout = 20 * time.Second
 
 var buildOnce = sync.OnceValues(func() (string, error) {
@@ -41,7 +41,7 @@
 	return dir, nil
 })
 
-// maxDeployments limits the deployments that run at once, so that they don't starve each other on a
+// maxDeployments limits the number of concurrent deployments, so that they don't starve each other on a
 // busy machine.
 const maxDeployments = "3"
 
@@ -58,7 +58,7 @@
 	os.Exit(code)
 }
 
-// process is one process of a deployment.
+// process is a process of a deployment.
 type process struct {
 	name string
 	cmd  *exec.Cmd
@@ -71,44 +71,45 @@
 	assert.NilError(t, p.cmd.Process.Signal(sig))
 }
 
-// kill ends the process at once and waits for it.
+// kill sends SIGKILL to the process and waits until it has ended.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	p.end <- <-p.end
 }
 
-// entryVM is the addresses of one entry VM.
+// entryVM holds the name, the addresses and the settings file of an entry VM.
 type entryVM struct {
 	id, domain                     string
 	callers, control, relay, admin string
 	settings                       string
 }
 
-// cluster is a deployment of one group with three upstreams and entry VMs in three failure domains.
+// cluster is a deployment of one group: three upstreams, and entry VMs in three failure domains.
 type cluster struct {
 	t         *testing.T
 	bin, dir  string
 	platform  string
 	upstreams []string
-	// admins holds the upstreams' admin addresses, which faults don't affect.
+	// admins holds the upstreams' admin addresses, which injected faults don't affect.
 	admins []string
 	vms    []entryVM
 	procs  map[string]*process
-	// wires holds the connections from each entry VM to each upstream, if the options ask for them.
-	wires [][]*wire
+	// links holds the proxies between entry VMs and upstreams, by the index of the entry VM and of the
+	// upstream. It is empty unless options.links is set.
+	links [][]*linkProxy
 	opts  options
 }
 
-// options are the variations of a deployment.
+// options configures a deployment.
 type options struct {
 	// vms is the number of entry VMs.
 	vms int
-	// upstream holds extra flags of the upstreams.
+	// upstream holds extra flags for the upstreams.
 	upstream []string
-	// callers holds extra lines of the entry VMs' section Callers, settings extra sections.
+	// callers holds extra lines for the section Callers of the entry VMs' settings, settings extra sections.
 	callers, settings string
-	// wires puts a wire between each entry VM and each upstream.
-	wires bool
+	// links inserts a linkProxy between each entry VM and each upstream.
+	links bool
 }
 
 const tableCSV = `Kind,Rank,AcceptedAge,Idempotent,Deadline
@@ -116,16 +117,16 @@
 relaxed,last,5s,true,4s
 `
 
-// upstreamID names the i-th upstream.
+// upstreamID returns the id of the i-th upstream.
 func upstreamID(i int) string { return fmt.Sprintf("berth-%d", i+1) }
 
-// newCluster starts a deployment with n entry VMs and extra flags for the upstreams.
+// newCluster starts a deployment with n entry VMs and with extra flags for the upstreams.
 func newCluster(t *testing.T, n int, upstreamFlags ...string) *cluster {
 	t.Helper()
 	return options{vms: n, upstream: upstreamFlags}.start(t)
 }
 
-// start starts a deployment.
+// start starts a deployment and waits until all entry VMs are ready.
 func (o options) start(t *testing.T) *cluster {
 	t.Helper()
 	bin, err := buildOnce()
@@ -141,7 +142,7 @@
 		vm.settings = filepath.Join(c.dir, vm.id+".ini")
 		c.vms = append(c.vms, vm)
 	}
-	c.openWires()
+	c.openLinks()
 	c.writeSettings()
 	c.start("platform", "standin", "platform", "--listen", c.platform)
 	for i := range c.upstreams {
@@ -177,7 +178,7 @@
 	c.start(vm.id, "snipewall", "serve", "--settings", vm.settings)
 }
 
-// start runs a process until the end of the test.
+// start starts a process, which is killed at the end of the test.
 func (c *cluster) start(name, program string, args ...string) {
 	c.t.Helper()
 	p := &process{name: name, cmd: exec.Command(filepath.Join(c.bin, program), args...), end: make(chan error, 1)}
@@ -198,7 +199,7 @@
 	})
 }
 
-// tail returns the end of a log.
+// tail returns the end of a file, or the error of reading it.
 func tail(name string) string {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -219,8 +220,8 @@
 		fmt.Fprintf(&b, "[Platform]\nAddress = %s\n[Peers]\nSeeds = %s\n", c.platform, strings.Join(seeds, ", "))
 		fmt.Fprintf(&b, "[Callers]\nDefaultKind = current\n%s[Stop]\nGrace = 500ms\n%s", c.opts.callers, c.opts.settings)
 		for i, address := range c.upstreams {
-			if c.opts.wires {
-				address = c.wires[n][i].address
+			if c.opts.links {
+				address = c.links[n][i].address
 			}
 			fmt.Fprintf(&b, "[Upstream %s]\nGroup = berth\nAddress = %s\nFailureDomain = domain-%d\nRegion = here\n", upstreamID(i), address, i+1)
 		}
@@ -228,7 +229,7 @@
 	}
 }
 
-// run runs a command of snipewall and returns its output and exit code.
+// run runs a snipewall command and returns its output and exit code.
 func (c *cluster) run(stdin string, args ...string) (string, int) {
 	cmd := exec.Command(filepath.Join(c.bin, "snipewall"), args...)
 	cmd.Stdin = strings.NewReader(stdin)
@@ -236,7 +237,7 @@
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// applyTable puts a table into force that no earlier one precedes.
+// applyTable applies the first table of the deployment.
 func (c *cluster) applyTable(csv string) {
 	c.t.Helper()
 	out, code := c.run(csv, "table", "apply", "--settings", c.vms[0].settings, "--base", "0", "--wait", "0s", "-")
@@ -247,7 +248,7 @@
 	c.put("/v1/vms/"+vm.id, map[string]string{"FailureDomain": vm.domain, "Region": "here", "Control": vm.control, "Relay": vm.relay})
 }
 
-// put sends a JSON value to the platform's simulator.
+// put sends value as JSON to the platform's simulator.
 func (c *cluster) put(path string, value any) {
 	c.t.Helper()
 	body, err := json.Marshal(value)
@@ -262,7 +263,7 @@
 	assert.Equal(c.t, res.StatusCode, http.StatusOK, string(text))
 }
 
-// get reads a JSON value, for example from an admin port.
+// get decodes the JSON response of a URL into value.
 func (c *cluster) get(url string, value any) error {
 	res, err := http.Get(url)
 	if err != nil {
@@ -290,7 +291,7 @@
 	})
 }
 
-// eventually repeats the check until it succeeds.
+// eventually repeats the check until it succeeds, and fails the test after the limit.
 func (c *cluster) eventually(limit time.Duration, check func() error) {
 	c.t.Helper()
 	deadline := time.Now().Add(limit)
@@ -322,7 +323,8 @@
 	return 0, errors.New("no entry VM knows a primary")
 }
 
-// connect opens a caller's connection with start-up parameters in pairs.
+// connect opens a caller's connection. params are pairs of start-up parameters, without the prefix
+// "snipewall.".
 func (c *cluster) connect(vm entryVM, params ...string) *pgx.Conn {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
@@ -342,45 +344,45 @@
 	return conn
 }
 
-// Ports are taken from below the range of outgoing connections, which could otherwise take one before
-// the process that it is meant for has started. Each test binary uses a block of its own, since two
-// that run at once could find the same port free.
+// The ports lie below the ephemeral ports, since an outgoing connection could take a port before the
+// process that is to use it has started. Each test binary uses a block of its own, since two of them that
+// run concurrently could find the same port free.
 const (
-	firstGuard = 19900
-	firstPort  = 20000
-	blockSize  = 1000
-	// blocks keeps below the ports of examples/.
-	blocks = 5
+	firstLockPort = 19900
+	firstPort     = 20000
+	blockSize     = 1000
+	// blockCount is limited, so that the blocks don't overlap the ports of examples/.
+	blockCount = 5
 )
 
-// guard reserves the block of ports. A listener that nothing refers to is closed by the garbage
-// collector.
-var guard net.Listener
+// blockLock is the listener that reserves the block of ports. It is a global variable since the garbage
+// collector closes an unreferenced listener.
+var blockLock net.Listener
 
-// portBlock returns the first port of a block that no other test binary uses. A listener on the
-// block's guard port reserves it as long as this process runs.
+// portBlock returns the first port of a block that no other test binary uses. A listener on the block's
+// lock port reserves the block until this process ends.
 var portBlock = sync.OnceValues(func() (int64, error) {
-	for i := range blocks {
-		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", firstGuard+i))
+	for i := range blockCount {
+		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", firstLockPort+i))
 		if err == nil {
-			guard = ln
+			blockLock = ln
 			return firstPort + int64(i)*blockSize, nil
 		}
 	}
 	return 0, errors.New("all blocks of ports are in use")
 })
 
-// portsTaken counts the ports that were tried.
-var portsTaken atomic.Int64
+// portsTried counts the ports that freePorts has tried.
+var portsTried atomic.Int64
 
-// freePorts returns loopback addresses that were free a moment ago.
+// freePorts returns n loopback addresses whose ports are currently free.
 func freePorts(t *testing.T, n int) []string {
 	t.Helper()
 	block, err := portBlock()
 	assert.NilError(t, err)
 	var addresses []string
 	for len(addresses) < n {
-		port := block + portsTaken.Add(1)%blockSize
+		port := block + portsTried.Add(1)%blockSize
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err != nil {
 			continue
--- a/e2e/doc.go
+++ b/e2e/doc.go
@@ -1,10 +1,9 @@
-// Package e2e holds tests of whole deployments: entry VMs, upstreams and the platform as separate
-// processes on loopback, with real kills and real pauses.
+// Package e2e tests whole deployments. Entry VMs and the simulators of upstreams and platform run as
+// separate processes on loopback, which the tests kill and suspend with signals.
 //
 // # Usage
 //
 //	go test ./e2e
 //
-// The tests build the programs once, start what they need on free ports, and end all processes that
-// they started.
+// The tests build the programs once, start the processes on free ports, and end them with the test.
 package e2e
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -16,7 +16,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// failoverLimit is the product's limit for a change of primary.
+// failoverLimit is the specified time limit of a failover.
 const failoverLimit = 16 * time.Second
 
 // sqlState returns the SQLSTATE of an error, or "".
@@ -36,7 +36,7 @@
 	assert.NilError(t, err, sql)
 }
 
-// writer writes rows one after the other and remembers what it was told about each.
+// writer inserts rows one after the other and records the outcome reported for each.
 type writer struct {
 	c                             *cluster
 	vm                            int
@@ -44,11 +44,11 @@
 	first                         int
 	acknowledged, unknown, notRun []int
 	lastAck                       time.Time
-	// longest is the longest time between two acknowledgments.
-	longest time.Duration
+	// longestGap is the longest time between two acknowledgments.
+	longestGap time.Duration
 }
 
-// run writes until ctx ends and reconnects, also to other entry VMs, when its connection is lost.
+// run writes until ctx ends. When its connection is lost, it reconnects, if necessary to another entry VM.
 func (w *writer) run(ctx context.Context) error {
 	var conn *pgx.Conn
 	w.lastAck = time.Now()
@@ -72,7 +72,7 @@
 		switch state := sqlState(err); {
 		case err == nil:
 			w.acknowledged = append(w.acknowledged, id)
-			w.longest = max(w.longest, time.Since(w.lastAck))
+			w.longestGap = max(w.longestGap, time.Since(w.lastAck))
 			w.lastAck = time.Now()
 		case state == "SW001" || state == "SW002":
 			w.notRun = append(w.notRun, id)
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// check compares the rows with what the writer was told.
+// check compares the rows in the database with the reported outcomes.
 func (w *writer) check(t *testing.T, conn *pgx.Conn) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
@@ -106,10 +106,10 @@
 	for id, n := range found {
 		assert.Assert(t, n == 1, "write %d ran %d times", id, n)
 	}
-	t.Logf("%s: %d acknowledged, %d not run, %d unknown, longest gap %v", w.session, len(w.acknowledged), len(w.notRun), len(w.unknown), w.longest)
+	t.Logf("%s: %d acknowledged, %d not run, %d unknown, longest gap %v", w.session, len(w.acknowledged), len(w.notRun), len(w.unknown), w.longestGap)
 }
 
-// runWriters runs a writer at each entry VM while fault is at work.
+// runWriters runs a writer at each entry VM until fault returns.
 func runWriters(t *testing.T, c *cluster, fault func()) []*writer {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -128,8 +128,8 @@
 	return writers
 }
 
-// Guards against lost acknowledged writes and false refusals when the primary is killed, frozen and
-// resumed, or when entry VMs are killed, with real processes.
+// Guards against lost acknowledged writes, and against writes that are executed although they were
+// reported as not run, when primaries or entry VMs are killed, or suspended and resumed.
 func TestWritesSurviveFaults(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
@@ -173,7 +173,7 @@
 			conn := c.connect(c.vms[3], "session", "checker")
 			for _, w := range writers {
 				w.check(t, conn)
-				assert.Assert(t, time.Since(w.lastAck) < failoverLimit && w.longest < failoverLimit)
+				assert.Assert(t, time.Since(w.lastAck) < failoverLimit && w.longestGap < failoverLimit)
 				assert.Assert(t, len(w.acknowledged) > 100, "writes did not go on: %d", len(w.acknowledged))
 			}
 		})
@@ -190,7 +190,7 @@
 	return primary
 }
 
-// Guards against a session that misses its own write on another entry VM while replicas lag.
+// Guards against a session that doesn't see its own write at another entry VM while replicas lag.
 func TestReadYourWritesWhileRoaming(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3, "--ship-lag", "20ms", "--apply-lag", "80ms")
@@ -216,8 +216,8 @@
 	}
 }
 
-// Guards against a second run of a request that its caller repeats with its id elsewhere, also after
-// a failover.
+// Guards against executing a request twice when its caller repeats it with the same request id at another
+// entry VM, also after a failover.
 func TestRequestIDRunsOnce(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 4)
@@ -247,8 +247,8 @@
 	assert.Equal(t, amount, 12)
 }
 
-// Guards against a planned stop that cuts a request or a transaction in flight.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// Guards against a graceful stop that interrupts a request or an open transaction.
+func TestGracefulStopFinishesRequests(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	mustExec(t, c.connect(c.vms[1]), "create table sessions (id int8 primary key, berth int8)")
@@ -283,8 +283,8 @@
 	assert.Equal(t, n, 2)
 }
 
-// Guards against edits that don't reach every entry VM in 7 s, that overwrite another operator's
-// edit, or that an old checkout reverts.
+// Guards against edits that are not in force on every entry VM within 7 s, that overwrite a concurrent
+// edit, or that are reverted by applying an outdated file.
 func TestTableEdits(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 4)
@@ -324,8 +324,7 @@
 	mustExec(t, c.connect(c.vms[2]), "create table sessions (id int8 primary key)")
 }
 
-// Guards against errors that don't tell the caller what was wrong, and against a listener that
-// doesn't survive them.
+// Guards against wrong error codes for invalid input, and against a listener that fails after it.
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
--- a/e2e/examples_test.go
+++ b/e2e/examples_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against examples that the program refuses, or that share an address within a deployment.
+// Guards against examples with invalid settings or tables, and against address conflicts in a deployment.
 func TestExamples(t *testing.T) {
 	t.Parallel()
 	bin, err := buildOnce()
@@ -32,8 +32,8 @@
 	}
 }
 
-// checkEntryVMs expects that no two entry VMs share an address, that all know the same upstreams and
-// that their default kind is in the table.
+// checkEntryVMs fails the test unless all addresses differ, all entry VMs have the same upstreams, and
+// their default kinds are in the table.
 func checkEntryVMs(t *testing.T, files []string, table string) {
 	t.Helper()
 	owner := make(map[string]string)
@@ -55,7 +55,7 @@
 		assert.Assert(t, strings.Contains(table, "\n"+kind+","), "%s: no kind %q", file, kind)
 		at := strings.Index(text, "[Upstream ")
 		assert.Assert(t, at >= 0)
-		assert.Assert(t, upstreams == "" || upstreams == text[at:], "%s knows other upstreams", file)
+		assert.Assert(t, upstreams == "" || upstreams == text[at:], "%s has other upstreams", file)
 		upstreams = text[at:]
 	}
 	assert.Equal(t, len(owner), 4*len(files))
--- a/e2e/lag_test.go
+++ b/e2e/lag_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against stale reads of sessions that write on one entry VM and read on another while the
-// replicas are 2 s behind, and against reads that accept age but burden the primary.
-func TestReplicasFarBehind(t *testing.T) {
+// Guards against stale reads of sessions that write at one entry VM and read at another while replicas lag
+// by 2 s, and against sending reads that accept stale data to the primary.
+func TestLaggingReplicas(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3, "--apply-lag", "2s")
 	ctx := context.Background()
@@ -34,6 +34,6 @@
 		}
 	}
 	onPrimary := c.stats(0).Executed - before
-	t.Logf("%d of %d reads that accept age on the primary", onPrimary, reads)
+	t.Logf("%d of %d reads that accept stale data ran on the primary", onPrimary, reads)
 	assert.Assert(t, onPrimary < reads/20)
 }
--- a/e2e/leaving_test.go
+++ b/e2e/leaving_test.go
@@ -17,14 +17,14 @@
 // leaveLimit is the time after which an upstream that is leaving gets no new work.
 const leaveLimit = 5 * time.Second
 
-// reader reads over and over until ctx ends and remembers the longest time without an answer.
+// reader reads repeatedly until ctx ends and records the longest time between two answers.
 type reader struct {
-	c       *cluster
-	vm      int
-	kind    string
-	reads   int
-	longest time.Duration
-	failed  error
+	c          *cluster
+	vm         int
+	kind       string
+	reads      int
+	longestGap time.Duration
+	failed     error
 }
 
 func (r *reader) run(ctx context.Context) {
@@ -35,7 +35,7 @@
 			conn = r.dial(ctx)
 			continue
 		}
-		// The answer holds a value of this request alone, so that another's answer is noticed.
+		// The value is unique to this request, so that an answer to another request is detected.
 		want, got := rand.Int64(), int64(0)
 		readCtx, cancel := context.WithTimeout(ctx, 6*time.Second)
 		err := conn.QueryRow(readCtx, "select $1::int8", want).Scan(&got)
@@ -46,7 +46,7 @@
 		}
 		if err == nil {
 			r.reads++
-			r.longest = max(r.longest, time.Since(last))
+			r.longestGap = max(r.longestGap, time.Since(last))
 			last = time.Now()
 		}
 		time.Sleep(2 * time.Millisecond)
@@ -62,7 +62,7 @@
 	return conn
 }
 
-// runReaders runs a reader at each entry VM while fault is at work.
+// runReaders runs a reader at each entry VM until fault returns.
 func runReaders(c *cluster, kind string, fault func()) []*reader {
 	ctx, cancel := context.WithCancel(context.Background())
 	ends := make(chan bool, len(c.vms))
@@ -83,8 +83,8 @@
 	return readers
 }
 
-// Guards against new work on an upstream that is leaving, and against a planned change of primary
-// that loses or repeats a write.
+// Guards against new work on an upstream that is leaving, and against lost or repeated writes in the
+// planned failover when the leaving upstream is the primary.
 func TestLeavingUpstream(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -114,17 +114,17 @@
 					time.Sleep(time.Second)
 					assert.Assert(t, c.stats(tt.upstream).Executed > 0)
 					tt.leave(c, tt.upstream)
-					c.awaitIdle(tt.upstream)
+					c.mustBecomeIdle(tt.upstream)
 				})
 			})
-			assert.Assert(t, (mustLeader(t, c) != tt.upstream))
+			assert.Assert(t, (mustPrimaryByStatus(t, c) != tt.upstream))
 			for _, w := range writers {
 				w.check(t, c.connect(c.vms[3], "session", "checker"))
-				assert.Assert(t, w.longest < 2*time.Second, "writes stopped for %v", w.longest)
+				assert.Assert(t, w.longestGap < 2*time.Second, "writes stopped for %v", w.longestGap)
 			}
 			for _, r := range readers {
 				assert.NilError(t, r.failed)
-				assert.Assert(t, r.longest < 2*time.Second, "reads stopped for %v", r.longest)
+				assert.Assert(t, r.longestGap < 2*time.Second, "reads stopped for %v", r.longestGap)
 			}
 		})
 	}
@@ -134,8 +134,8 @@
 	c.put("/v1/vms/"+upstreamID(i)+"-vm?leaving=true", nil)
 }
 
-// awaitIdle expects that the upstream executes nothing from the limit on.
-func (c *cluster) awaitIdle(i int) {
+// mustBecomeIdle fails the test if the upstream executes anything later than leaveLimit from now.
+func (c *cluster) mustBecomeIdle(i int) {
 	c.t.Helper()
 	start, executed, changed := time.Now(), uint64(0), time.Now()
 	for time.Since(start) < leaveLimit+2*time.Second {
@@ -144,7 +144,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	c.t.Logf("the last work came %v after the mark", changed.Sub(start).Round(10*time.Millisecond))
+	c.t.Logf("the last statement was executed %v after the upstream was marked as leaving", changed.Sub(start).Round(10*time.Millisecond))
 	if took := changed.Sub(start); took > leaveLimit {
 		assert.NilError(c.t, errors.New("work on a leaving upstream after "+took.String()))
 	}
--- a/e2e/wire_test.go
+++ b/e2e/link_test.go
@@ -14,14 +14,15 @@
 	"snipewall/stand/dbsim"
 )
 
-// wire forwards the connections from one entry VM to one upstream, and can hold back their traffic.
-type wire struct {
+// linkProxy is a TCP proxy between an entry VM and an upstream. It can hold back traffic in one or both
+// directions.
+type linkProxy struct {
 	address string
 	ln      net.Listener
 	target  string
 
 	mu sync.Mutex
-	// open is closed while traffic passes in the direction: to the upstream, and back.
+	// open holds a channel for each direction, which is closed while traffic may pass.
 	open  [2]chan struct{}
 	conns map[net.Conn]bool
 }
@@ -31,11 +32,11 @@
 	fromUpstream
 )
 
-func newWire(t *testing.T, target string) *wire {
+func newLinkProxy(t *testing.T, target string) *linkProxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	w := &wire{address: ln.Addr().String(), ln: ln, target: target, conns: make(map[net.Conn]bool)}
+	w := &linkProxy{address: ln.Addr().String(), ln: ln, target: target, conns: make(map[net.Conn]bool)}
 	for i := range w.open {
 		w.open[i] = make(chan struct{})
 		close(w.open[i])
@@ -55,7 +56,7 @@
 	return w
 }
 
-func (w *wire) serve(serving *sync.WaitGroup) {
+func (w *linkProxy) serve(serving *sync.WaitGroup) {
 	for {
 		c, err := w.ln.Accept()
 		if err != nil {
@@ -65,11 +66,12 @@
 	}
 }
 
-// forward opens the other half of a connection and copies both directions.
-func (w *wire) forward(c net.Conn) {
+// forward connects to the target and copies both directions.
+func (w *linkProxy) forward(c net.Conn) {
 	up, err := net.Dial("tcp", w.target)
 	if err != nil {
-		// A reset is what a caller of a port without a listener sees on its first use.
+		// The entry VM's dial has already succeeded, so that closing the connection is the nearest
+		// equivalent of refusing it.
 		_ = c.Close()
 		return
 	}
@@ -86,8 +88,8 @@
 	w.mu.Unlock()
 }
 
-// copy copies one direction until either half ends.
-func (w *wire) copy(dst, src net.Conn, way int) {
+// copy copies one direction until either connection ends.
+func (w *linkProxy) copy(dst, src net.Conn, direction int) {
 	defer func() {
 		_ = dst.Close()
 		_ = src.Close()
@@ -96,7 +98,7 @@
 	for {
 		n, err := src.Read(buf)
 		w.mu.Lock()
-		open := w.open[way]
+		open := w.open[direction]
 		w.mu.Unlock()
 		<-open
 		if n > 0 {
@@ -110,17 +112,17 @@
 	}
 }
 
-// cut holds back traffic in the directions until heal. What was held back arrives then.
-func (w *wire) cut(ways ...int) {
+// cut holds back traffic in the given directions until heal, which delivers it.
+func (w *linkProxy) cut(directions ...int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, way := range ways {
-		w.open[way] = make(chan struct{})
+	for _, direction := range directions {
+		w.open[direction] = make(chan struct{})
 	}
 }
 
-// heal lets all traffic pass.
-func (w *wire) heal() {
+// heal lets traffic pass in both directions.
+func (w *linkProxy) heal() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, open := range w.open {
@@ -132,20 +134,20 @@
 	}
 }
 
-func (c *cluster) openWires() {
-	if !c.opts.wires {
+func (c *cluster) openLinks() {
+	if !c.opts.links {
 		return
 	}
 	for range c.vms {
-		var row []*wire
+		var row []*linkProxy
 		for _, address := range c.upstreams {
-			row = append(row, newWire(c.t, address))
+			row = append(row, newLinkProxy(c.t, address))
 		}
-		c.wires = append(c.wires, row)
+		c.links = append(c.links, row)
 	}
 }
 
-// fault switches a fault of an upstream.
+// fault sets a fault of an upstream's simulator.
 func (c *cluster) fault(i int, name, value string) {
 	c.t.Helper()
 	form := url.Values{"name": {name}, "value": {value}}
@@ -156,13 +158,13 @@
 	assert.Equal(c.t, res.StatusCode, http.StatusOK, string(text))
 }
 
-// platformFault switches a fault of the platform.
+// platformFault sets a fault of the platform's simulator.
 func (c *cluster) platformFault(name, value string) {
 	c.t.Helper()
 	c.put(fmt.Sprintf("/v1/fault/%s?value=%s", name, url.QueryEscape(value)), nil)
 }
 
-// stats returns what an upstream's simulator says about itself.
+// stats returns the statistics of an upstream's simulator.
 func (c *cluster) stats(i int) dbsim.Stats {
 	c.t.Helper()
 	var s dbsim.Stats
--- a/e2e/silence_test.go
+++ b/e2e/silence_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against reads that stop, and writes that run twice, when open connections to upstreams go
-// silent while new ones work.
+// Guards against stalled reads, and against writes that run twice, when open connections to upstreams stop
+// delivering data while new ones work.
 func TestSilentConnections(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 4)
@@ -39,19 +39,20 @@
 	conn := c.connect(c.vms[3], "session", "checker")
 	for _, w := range writers {
 		w.check(t, conn)
-		assert.Assert(t, time.Since(w.lastAck) < failoverLimit && w.longest < 6*time.Second, "writes stopped for %v", w.longest)
+		assert.Assert(t, time.Since(w.lastAck) < failoverLimit && w.longestGap < 6*time.Second, "writes stopped for %v", w.longestGap)
 	}
 	for _, r := range readers {
 		assert.NilError(t, r.failed)
-		t.Logf("%d reads, longest gap %v", r.reads, r.longest)
-		assert.Assert(t, r.longest < 4500*time.Millisecond, "reads stopped for %v", r.longest)
+		t.Logf("%d reads, longest gap %v", r.reads, r.longestGap)
+		assert.Assert(t, r.longestGap < 4500*time.Millisecond, "reads stopped for %v", r.longestGap)
 	}
 	var n int
 	assert.NilError(t, conn.QueryRow(context.Background(), "select n from counters where id = 1").Scan(&n))
-	assert.Equal(t, n, added, "requests with an id ran another number of times")
+	assert.Equal(t, n, added, "requests with an id did not run exactly once each")
 }
 
-// addOnce repeats an update under its request id on all entry VMs until it is known to have run.
+// addOnce repeats an update with the same request id at alternating entry VMs until it is known to have
+// run.
 func (c *cluster) addOnce(id string) {
 	c.t.Helper()
 	vm := 0
@@ -68,8 +69,7 @@
 	})
 }
 
-// Guards against callers that get each other's answers when answers are late and requests are
-// canceled.
+// Guards against mixing up callers' answers when answers are late and requests are canceled.
 func TestLateAnswersAndCancels(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
@@ -88,7 +88,7 @@
 				want := int64(n)*1_000_000 + i
 				cancelTimer := make(chan struct{})
 				if rand.IntN(3) == 0 {
-					// The cancel request arrives before, while or after the answer does.
+					// The cancel request may arrive before, during or after the answer.
 					go func() {
 						defer close(cancelTimer)
 						time.Sleep(rand.N(150 * time.Millisecond))
--- a/e2e/tls_test.go
+++ b/e2e/tls_test.go
@@ -20,7 +20,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// certificate writes a self-signed certificate for loopback and its key.
+// certificate writes a self-signed certificate for loopback and its key to temporary files.
 func certificate(t *testing.T) (certFile, keyFile string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -46,8 +46,8 @@
 	return certFile, keyFile
 }
 
-// Guards against callers or upstreams that can't be reached by TLS, against plain callers where TLS
-// is required, and against upstreams whose certificate nobody vouches for.
+// Guards against broken TLS to callers and upstreams, against accepting callers without TLS where it is
+// required, and against presenting a certificate other than the configured one.
 func TestTLS(t *testing.T) {
 	t.Parallel()
 	cert, key := certificate(t)
@@ -65,10 +65,10 @@
 		return conn, err
 	}
 	_, err := dial(c.vms[0], "sslmode=disable")
-	assert.Assert(t, sqlState(err) != "", "a plain caller got: %v", err)
+	assert.Assert(t, sqlState(err) != "", "the error of a caller without TLS: %v", err)
 	other, _ := certificate(t)
 	_, err = dial(c.vms[0], "sslmode=verify-full&sslrootcert="+other)
-	assert.Assert(t, err != nil, "the caller took a certificate that it does not trust")
+	assert.Assert(t, err != nil, "the caller accepted a certificate that it does not trust")
 	for i, params := range []string{"sslmode=require", "sslmode=verify-full&sslrootcert=" + cert} {
 		conn, err := dial(c.vms[i], params)
 		assert.NilError(t, err)
@@ -80,7 +80,7 @@
 	}
 }
 
-// Guards against an entry VM that talks to an upstream with an untrusted certificate.
+// Guards against sending statements to an upstream with an untrusted certificate.
 func TestUntrustedUpstream(t *testing.T) {
 	t.Parallel()
 	cert, key := certificate(t)
@@ -98,7 +98,7 @@
 	}
 }
 
-// Guards against a limit of connections in the settings that nothing enforces.
+// Guards against a configured connection limit that isn't enforced.
 func TestConnectionLimit(t *testing.T) {
 	t.Parallel()
 	c := options{vms: 1, callers: "MaxConnections = 3\n"}.start(t)
--- a/e2e/transaction_test.go
+++ b/e2e/transaction_test.go
@@ -8,17 +8,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a transaction that outlives its entry VM, or whose locks do.
-func TestEntryVMDiesInTransaction(t *testing.T) {
+// Guards against a transaction, or its locks, that survives the failure of its entry VM.
+func TestEntryVMKilledInTransaction(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		// vm is the caller's entry VM. The first failure domain's own the primary.
+		// vm is the index of the caller's entry VM. The entry VMs of the first failure domain, vm-1 and
+		// vm-4, own the primary.
 		vm   int
 		kill []string
 	}{
-		{"the caller's", 1, []string{"vm-2"}},
-		{"the caller's, which may own the primary", 0, []string{"vm-1"}},
-		{"the owners of the primary", 1, []string{"vm-1", "vm-4"}},
+		{"caller's entry VM", 1, []string{"vm-2"}},
+		{"caller's entry VM, which may own the primary", 0, []string{"vm-1"}},
+		{"owners of the primary", 1, []string{"vm-1", "vm-4"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
@@ -42,7 +43,7 @@
 			})
 			t.Logf("the lock was free after %v", time.Since(start).Round(10*time.Millisecond))
 			_, err := conn.Exec(ctx, "commit")
-			assert.Assert(t, err != nil, "the lost transaction was committed")
+			assert.Assert(t, err != nil, "the aborted transaction was committed")
 			var rows, amount int
 			checker := c.connect(c.vms[2], "session", "checker")
 			assert.NilError(t, checker.QueryRow(ctx, "select count(*) from berths").Scan(&rows))
