--- a/bench/demo.go
+++ b/bench/demo.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// demoSetup limits everything in the demonstration but the failover.
-	demoSetup = 20 * time.Second
+	// demoTimeout limits each step of the demonstration, not counting the failover.
+	demoTimeout = 20 * time.Second
 	// writeInterval is the time between two writes of the demonstration.
 	writeInterval = 20 * time.Millisecond
-	// settleTime is how long writes go on before the primary is killed.
-	settleTime = 2 * time.Second
-	// gapLimit is the longest failover gap that the product allows.
-	gapLimit = 16 * time.Second
+	// killDelay is the time from the first write until the primary is killed.
+	killDelay = 2 * time.Second
+	// maxFailoverGap is the specified limit of the time without acknowledged writes in a failover.
+	maxFailoverGap = 16 * time.Second
 )
 
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "show a session that roams, and a failover, on a running deployment",
+		Usage: "show a session that moves between entry VMs, and a failover, on a running deployment",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "callers", Usage: "callers' addresses of entry VMs, `HOST:PORT`", Required: true},
 			&cli.StringFlag{Name: "admin", Usage: "admin `HOST:PORT` of an entry VM", Required: true},
@@ -49,7 +49,7 @@
 	}
 }
 
-// demo is one demonstration on a running deployment.
+// demo runs the demonstration and holds its results.
 type demo struct {
 	callers                       []string
 	admin, database, kind, pids   string
@@ -95,10 +95,10 @@
 	return pgx.ConnectConfig(ctx, cfg)
 }
 
-// roam writes at one entry VM and reads the write at another in the same session. It returns the
-// time from the acknowledgment to the end of the read.
+// roam writes at one entry VM and reads the write at another one in the same session. It returns the time
+// from the acknowledgment to the end of the read.
 func (d *demo) roam(ctx context.Context) (time.Duration, error) {
-	ctx, cancel := context.WithTimeout(ctx, demoSetup)
+	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 	first, err := d.connect(ctx, d.callers[0], "demo-roaming")
 	if err != nil {
@@ -128,9 +128,10 @@
 	return time.Since(began), nil
 }
 
-// failover writes steadily, kills the primary and goes on until writes are acknowledged again.
+// failover writes rows at writeInterval, kills the primary, and continues until writes are acknowledged
+// again. It returns the id of the killed primary.
 func (d *demo) failover(ctx context.Context) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, gapLimit+demoSetup)
+	ctx, cancel := context.WithTimeout(ctx, maxFailoverGap+demoTimeout)
 	defer cancel()
 	primary, err := d.primary(ctx)
 	if err != nil {
@@ -148,7 +149,7 @@
 	began := time.Now()
 	var killedAt, lastAck time.Time
 	for id := 1; ; id++ {
-		if killedAt.IsZero() && time.Since(began) > settleTime {
+		if killedAt.IsZero() && time.Since(began) > killDelay {
 			if err := syscall.Kill(pid, syscall.SIGKILL); err != nil {
 				return "", err
 			}
@@ -169,7 +170,7 @@
 	}
 }
 
-// write sends one row and counts the outcome.
+// write inserts a row and counts the outcome. It reports whether the write was acknowledged.
 func (d *demo) write(ctx context.Context, conn *pgx.Conn, id int) (bool, error) {
 	_, err := conn.Exec(ctx, fmt.Sprintf("/* request_id='demo-%d' */ insert into sessions (id, berth) values ($1, 1)", id), id)
 	var pgErr *pgconn.PgError
@@ -189,9 +190,9 @@
 	return false, nil
 }
 
-// count reads how many rows the writer left.
+// count returns the number of rows that were written.
 func (d *demo) count(ctx context.Context) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, demoSetup)
+	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 	conn, err := d.connect(ctx, d.callers[len(d.callers)-1], "demo-writer")
 	if err != nil {
@@ -215,7 +216,7 @@
 	return status.Primaries[d.database], nil
 }
 
-// pid looks up the process id of a part of the deployment.
+// pid looks up the process id of an upstream or entry VM by its name.
 func (d *demo) pid(name string) (int, error) {
 	file, err := os.Open(d.pids)
 	if err != nil {
--- a/bench/httpjson.go
+++ b/bench/httpjson.go
@@ -7,7 +7,7 @@
 	"net/http"
 )
 
-// getJSON reads a JSON value from an admin port or from the platform's simulator.
+// getJSON decodes the JSON response of an admin port or of the platform's simulator into value.
 func getJSON(ctx context.Context, url string, value any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/bench/main.go
+++ b/bench/main.go
@@ -1,11 +1,11 @@
-// Command bench measures parts of snipewall.
+// Command bench measures the performance of snipewall.
 //
 // # Usage
 //
 //	go run ./bench surge
 //	go run ./bench surge --json surge.json
 //
-// The other subcommands need a running deployment; the scripts in scripts/ start one.
+// The other commands need a running deployment. The scripts in scripts/ start one.
 package main
 
 import (
--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -17,50 +17,50 @@
 )
 
 const (
-	// latencyTime and rateTime are the durations of the two parts of each measurement.
+	// latencyTime and rateTime are the durations of the latency and of the throughput measurement.
 	latencyTime = 3 * time.Second
 	rateTime    = 4 * time.Second
-	// overheadWarmUp is left out of each part.
+	// overheadWarmUp is the time before each measurement whose results are discarded.
 	overheadWarmUp = 500 * time.Millisecond
-	// maxLatency is the upper end of the histograms.
+	// maxLatency is the upper bound of the histograms.
 	maxLatency = 10 * time.Second
-	// clockTick is the unit of processor times in /proc, 1/100 s on Linux.
+	// clockTick is the unit of CPU times in /proc, USER_HZ on Linux.
 	clockTick = 10 * time.Millisecond
-	// overheadSQL is the simple statement that is measured.
+	// overheadSQL is the statement to measure.
 	overheadSQL = "select captain from berths where id = 1"
 )
 
 func overheadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "overhead",
-		Usage: "measure what each way to the upstream adds to a simple statement",
+		Usage: "measure the overhead of each path to the upstream for a simple statement",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "target", Usage: "`NAME=HOST:PORT=PID+PID` of a way to the upstream and its processes; the first is the direct one", Required: true},
+			&cli.StringSliceFlag{Name: "target", Usage: "`NAME=HOST:PORT=PID+PID` of a path to the upstream and of its processes; the first is the direct connection", Required: true},
 			&cli.StringFlag{Name: "database", Usage: "group to use", Required: true},
-			&cli.IntFlag{Name: "connections", Value: 32, Usage: "connections when the rate is measured"},
+			&cli.IntFlag{Name: "connections", Value: 32, Usage: "connections in the throughput measurement"},
 			&cli.StringFlag{Name: "json", Usage: "`FILE` for the result as JSON"},
 		},
 		Action: runOverhead,
 	}
 }
 
-// overheadRow is the result for one way to the upstream.
+// overheadRow is the result for a path to the upstream.
 type overheadRow struct {
 	Name string
-	// P50 and P99 are latencies of one connection in microseconds.
+	// P50 and P99 are latency quantiles of a single connection in microseconds.
 	P50, P99 float64
-	// Rate is the number of statements per second over all connections.
+	// Rate is the number of statements per second on all connections.
 	Rate float64
-	// CPU is the processor time of the processes per statement in microseconds, 0 if there are none.
+	// CPU is the CPU time of the path's processes per statement in microseconds, or 0 if there are none.
 	CPU float64
-	// PerCore is the number of statements per second of processor time.
+	// PerCore is the number of statements per second of CPU time.
 	PerCore float64
 }
 
-// target is one way to the upstream.
+// target is a path to the upstream.
 type target struct {
 	name, address string
-	// pids are the processes between the caller and the upstream.
+	// pids are the ids of the processes between the caller and the upstream, or 0 for none.
 	pids []int
 }
 
@@ -94,7 +94,7 @@
 		rows = append(rows, row)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "way\tp50 us\tp99 us\tadded p50\tadded p99\tstatements/s\tCPU us/statement\tstatements/s per core\t")
+	fmt.Fprintln(w, "path\tp50 us\tp99 us\tadded p50\tadded p99\tstatements/s\tCPU us/statement\tstatements/s per core\t")
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.0f\t%.1f\t%.0f\t\n",
 			r.Name, r.P50, r.P99, r.P50-rows[0].P50, r.P99-rows[0].P99, r.Rate, r.CPU, r.PerCore)
@@ -105,7 +105,7 @@
 	return writeJSONFile(cmd.String("json"), rows)
 }
 
-// writeJSONFile writes the value to the file, if one is named.
+// writeJSONFile writes the value as JSON to the file, unless the name is empty.
 func writeJSONFile(name string, v any) error {
 	if name == "" {
 		return nil
@@ -119,17 +119,17 @@
 
 func measureTarget(ctx context.Context, t target, database string, connections int) (overheadRow, error) {
 	row := overheadRow{Name: t.name}
-	one, _, err := load(ctx, t, database, 1, latencyTime)
+	single, _, err := runLoad(ctx, t, database, 1, latencyTime)
 	if err != nil {
 		return row, err
 	}
-	row.P50 = float64(one.ValueAtQuantile(50)) / 1e3
-	row.P99 = float64(one.ValueAtQuantile(99)) / 1e3
-	many, cpu, err := load(ctx, t, database, connections, rateTime)
+	row.P50 = float64(single.ValueAtQuantile(50)) / 1e3
+	row.P99 = float64(single.ValueAtQuantile(99)) / 1e3
+	concurrent, cpu, err := runLoad(ctx, t, database, connections, rateTime)
 	if err != nil {
 		return row, err
 	}
-	n := float64(many.TotalCount())
+	n := float64(concurrent.TotalCount())
 	row.Rate = n / rateTime.Seconds()
 	if cpu > 0 {
 		row.CPU = float64(cpu.Microseconds()) / n
@@ -138,9 +138,9 @@
 	return row, nil
 }
 
-// load sends statements on each connection one after the other for the duration. It returns the
-// latencies and the processor time that the target's process spent.
-func load(ctx context.Context, t target, database string, connections int, d time.Duration) (*hdrhistogram.Histogram, time.Duration, error) {
+// runLoad sends statements sequentially on each connection for the duration. It returns their latencies in
+// nanoseconds and the CPU time that the target's processes spent.
+func runLoad(ctx context.Context, t target, database string, connections int, d time.Duration) (*hdrhistogram.Histogram, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, d+overheadWarmUp+10*time.Second)
 	defer cancel()
 	conns := make([]*pgconn.PgConn, connections)
@@ -159,7 +159,7 @@
 	ends := make(chan error, connections)
 	for _, c := range conns {
 		go func() {
-			h, err := repeat(ctx, c, begin, end)
+			h, err := sendUntil(ctx, c, begin, end)
 			mu.Lock()
 			defer mu.Unlock()
 			total.Merge(h)
@@ -184,8 +184,8 @@
 	return total, after - before, nil
 }
 
-// repeat sends the statement until the end and records the latencies from begin on.
-func repeat(ctx context.Context, c *pgconn.PgConn, begin, end time.Time) (*hdrhistogram.Histogram, error) {
+// sendUntil sends the statement repeatedly until end and records the latencies of those sent after begin.
+func sendUntil(ctx context.Context, c *pgconn.PgConn, begin, end time.Time) (*hdrhistogram.Histogram, error) {
 	h := hdrhistogram.New(1, maxLatency.Nanoseconds(), 3)
 	for {
 		sent := time.Now()
@@ -207,7 +207,7 @@
 	}
 }
 
-// cpuTimes adds up the processor times of processes.
+// cpuTimes returns the total CPU time of the processes.
 func cpuTimes(pids []int) (time.Duration, error) {
 	var sum time.Duration
 	for _, pid := range pids {
@@ -220,7 +220,7 @@
 	return sum, nil
 }
 
-// cpuTime returns the processor time that a process has spent, or 0 for process id 0.
+// cpuTime returns the CPU time of a process, or 0 for process id 0.
 func cpuTime(pid int) (time.Duration, error) {
 	if pid == 0 {
 		return 0, nil
@@ -229,7 +229,8 @@
 	if err != nil {
 		return 0, err
 	}
-	// The command's name can contain spaces; the fields after it are user and system time at 11 and 12.
+	// The process name, in parentheses, can contain spaces. Of the fields after it, 11 and 12 are the user
+	// and the system time.
 	_, rest, ok := strings.Cut(string(data), ") ")
 	fields := strings.Fields(rest)
 	if !ok || len(fields) < 13 {
--- a/bench/reads.go
+++ b/bench/reads.go
@@ -17,36 +17,36 @@
 )
 
 const (
-	// writers is the number of sessions that write and read their write, readers of those that only
-	// read.
-	writers = 8
-	readers = 16
-	// thinkTime is the pause of a session between two statements.
+	// writerCount is the number of sessions that write and read their own writes, readerCount that of
+	// the sessions that only read.
+	writerCount = 8
+	readerCount = 16
+	// thinkTime is the pause after each read.
 	thinkTime = 10 * time.Millisecond
-	// writeTime is the pause of a writer after each write and read, which makes about a tenth of all
-	// reads follow a write of their session.
-	writeTime = 100 * time.Millisecond
-	// settleTables is the wait for replicas to have the table that the run creates.
-	settleTables = time.Second
-	// readsPerConnection is after how many reads a reader moves to another entry VM.
+	// writerPause is the pause of a writer after each write and read. With it, about a tenth of all reads
+	// follow a write of their session.
+	writerPause = 100 * time.Millisecond
+	// tableReplicationDelay is the time in which the replicas receive the table that the run creates.
+	tableReplicationDelay = time.Second
+	// readsPerConnection is the number of reads after which a reader connects to another entry VM.
 	readsPerConnection = 10
-	// ownKind is the kind of writes and of the reads that follow them.
-	ownKind = "pedestal-stop"
+	// writeKind is the kind of the writes and of the reads of sessions' own writes.
+	writeKind = "pedestal-stop"
 )
 
-// readKind is one kind of read of the readers.
+// readKind is a kind of the readers' reads.
 type readKind struct {
 	kind string
-	// share is in percent of the readers' reads.
-	share int
-	// age is the accepted age in the operators' table.
-	age time.Duration
+	// percentage is the part of the readers' reads that have this kind.
+	percentage int
+	// acceptedAge is the accepted age of data in the operators' table.
+	acceptedAge time.Duration
 }
 
-// readerKinds follow the first user's work.
+// readerKinds resembles the workload of the deployment gulf-berth.
 var readerKinds = []readKind{
-	{kind: "dock-lookup", share: 40, age: time.Second},
-	{kind: "member-usage", share: 60, age: 30 * time.Second},
+	{kind: "dock-lookup", percentage: 40, acceptedAge: time.Second},
+	{kind: "member-usage", percentage: 60, acceptedAge: 30 * time.Second},
 }
 
 func readsCommand() *cli.Command {
@@ -64,44 +64,44 @@
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			r := &readLoad{
 				callers: cmd.StringSlice("callers"), admin: cmd.StringSlice("admin"),
-				database: cmd.String("database"), carry: cmd.Bool("carry"), length: cmd.Duration("time"),
+				database: cmd.String("database"), carryPosition: cmd.Bool("carry"), duration: cmd.Duration("time"),
 			}
 			return r.run(ctx, cmd.String("label"))
 		},
 	}
 }
 
-// readLoad is one run of the mix.
+// readLoad is a run of the mixed read and write load.
 type readLoad struct {
 	callers, admin []string
 	database       string
-	carry          bool
-	length         time.Duration
+	carryPosition  bool
+	duration       time.Duration
 
 	stale, failed atomic.Int64
-	rows          [writers]rowHistory
+	rows          [writerCount]rowHistory
 }
 
-// rowHistory is when each value of a row was acknowledged; value n is at index n-1.
+// rowHistory holds the times at which the values of a row were acknowledged. Value n is at index n-1.
 type rowHistory struct {
-	mu    sync.Mutex
-	acked []time.Time
+	mu       sync.Mutex
+	ackTimes []time.Time
 }
 
 func (h *rowHistory) add() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.acked = append(h.acked, time.Now())
+	h.ackTimes = append(h.ackTimes, time.Now())
 }
 
-// valueAt returns the highest value that was acknowledged at the time.
+// valueAt returns the highest value that had been acknowledged at the time, or 0.
 func (h *rowHistory) valueAt(t time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return sort.Search(len(h.acked), func(i int) bool { return h.acked[i].After(t) })
+	return sort.Search(len(h.ackTimes), func(i int) bool { return h.ackTimes[i].After(t) })
 }
 
-// routeCounts is the part of an entry VM's dump that counts reads by rank.
+// routeCounts holds the read counters by rank from an entry VM's dump.
 type routeCounts struct{ ReplicaReads, PrimaryReads [core.RankCount]uint64 }
 
 func (c *routeCounts) add(other routeCounts, sign uint64) {
@@ -111,8 +111,8 @@
 	}
 }
 
-// share returns the percentage of the reads of the ranks that replicas served.
-func (c *routeCounts) share(ranks ...core.Rank) float64 {
+// replicaPercentage returns the percentage of the ranks' reads that were served by replicas.
+func (c *routeCounts) replicaPercentage(ranks ...core.Rank) float64 {
 	var replica, all uint64
 	for _, rank := range ranks {
 		replica += c.ReplicaReads[rank]
@@ -122,7 +122,7 @@
 }
 
 func (r *readLoad) run(ctx context.Context, label string) error {
-	ctx, cancel := context.WithTimeout(ctx, r.length+30*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, r.duration+30*time.Second)
 	defer cancel()
 	if err := r.prepare(ctx); err != nil {
 		return err
@@ -131,16 +131,16 @@
 	if err != nil {
 		return err
 	}
-	end := time.Now().Add(r.length)
-	results := make(chan sessionResult, writers+readers)
-	for i := range writers {
-		go func() { results <- r.writer(ctx, i, end) }()
+	end := time.Now().Add(r.duration)
+	results := make(chan sessionResult, writerCount+readerCount)
+	for i := range writerCount {
+		go func() { results <- r.runWriter(ctx, i, end) }()
 	}
-	for i := range readers {
-		go func() { results <- r.reader(ctx, i, end) }()
+	for i := range readerCount {
+		go func() { results <- r.runReader(ctx, i, end) }()
 	}
 	total := newLatencies()
-	for range writers + readers {
+	for range writerCount + readerCount {
 		res := <-results
 		if res.err != nil {
 			return res.err
@@ -162,7 +162,7 @@
 }
 
 func newLatencies() map[string]*hdrhistogram.Histogram {
-	m := map[string]*hdrhistogram.Histogram{ownKind: hdrhistogram.New(1, maxLatency.Microseconds(), 3)}
+	m := map[string]*hdrhistogram.Histogram{writeKind: hdrhistogram.New(1, maxLatency.Microseconds(), 3)}
 	for _, k := range readerKinds {
 		m[k.kind] = hdrhistogram.New(1, maxLatency.Microseconds(), 3)
 	}
@@ -171,9 +171,9 @@
 
 func (r *readLoad) report(label string, counts routeCounts, total map[string]*hdrhistogram.Histogram) {
 	fmt.Printf("%-28s by replicas: all %.1f%%, own writes %.1f%%, 1 s %.1f%%, 30 s %.1f%%; stale %d, failed %d; p50/p99 ms:",
-		label, counts.share(core.RankUrgent, core.RankMiddle, core.RankLast), counts.share(core.RankUrgent),
-		counts.share(core.RankMiddle), counts.share(core.RankLast), r.stale.Load(), r.failed.Load())
-	for _, kind := range []string{ownKind, readerKinds[0].kind, readerKinds[1].kind} {
+		label, counts.replicaPercentage(core.RankUrgent, core.RankMiddle, core.RankLast), counts.replicaPercentage(core.RankUrgent),
+		counts.replicaPercentage(core.RankMiddle), counts.replicaPercentage(core.RankLast), r.stale.Load(), r.failed.Load())
+	for _, kind := range []string{writeKind, readerKinds[0].kind, readerKinds[1].kind} {
 		h := total[kind]
 		fmt.Printf(" %s %.1f/%.1f", kind, float64(h.ValueAtQuantile(50))/1e3, float64(h.ValueAtQuantile(99))/1e3)
 	}
@@ -191,12 +191,12 @@
 			return err
 		}
 	}
-	for i := range writers {
+	for i := range writerCount {
 		if _, err := conn.Exec(ctx, "insert into usage (id, kwh) values ($1, 0)", i); err != nil {
 			return err
 		}
 	}
-	time.Sleep(settleTables)
+	time.Sleep(tableReplicationDelay)
 	return nil
 }
 
@@ -212,25 +212,25 @@
 	return pgx.ConnectConfig(ctx, cfg)
 }
 
-// sessionResult is what one session measured.
+// sessionResult holds the measurements of a session, latencies by kind in microseconds.
 type sessionResult struct {
 	latencies map[string]*hdrhistogram.Histogram
 	err       error
 }
 
-// writer writes its row at one entry VM and reads it at another.
-func (r *readLoad) writer(ctx context.Context, i int, end time.Time) sessionResult {
+// runWriter repeatedly writes its row at a random entry VM and reads it at another random one.
+func (r *readLoad) runWriter(ctx context.Context, i int, end time.Time) sessionResult {
 	res := sessionResult{latencies: newLatencies()}
 	rng := rand.New(rand.NewPCG(uint64(i), 1))
 	session := fmt.Sprintf("pedestal-%d", i)
 	position := ""
 	for n := 1; time.Now().Before(end) && res.err == nil; n++ {
-		res.err = r.visit(ctx, rng.IntN(len(r.callers)), session, position, func(conn *pgx.Conn) error {
-			if _, err := conn.Exec(ctx, fmt.Sprintf("/* kind='%s' */ update usage set kwh = $1 where id = $2", ownKind), n, i); err != nil {
+		res.err = r.withConnection(ctx, rng.IntN(len(r.callers)), session, position, func(conn *pgx.Conn) error {
+			if _, err := conn.Exec(ctx, fmt.Sprintf("/* kind='%s' */ update usage set kwh = $1 where id = $2", writeKind), n, i); err != nil {
 				return err
 			}
 			r.rows[i].add()
-			if r.carry {
+			if r.carryPosition {
 				position = conn.PgConn().ParameterStatus("snipewall.position")
 			}
 			return nil
@@ -238,28 +238,28 @@
 		if res.err != nil {
 			return res
 		}
-		res.err = r.visit(ctx, rng.IntN(len(r.callers)), session, position, func(conn *pgx.Conn) error {
-			r.read(ctx, conn, ownKind, i, n, res.latencies)
+		res.err = r.withConnection(ctx, rng.IntN(len(r.callers)), session, position, func(conn *pgx.Conn) error {
+			r.read(ctx, conn, writeKind, i, n, res.latencies)
 			return nil
 		})
-		time.Sleep(writeTime)
+		time.Sleep(writerPause)
 	}
 	return res
 }
 
-// reader looks at rows of others and moves to another entry VM now and then.
-func (r *readLoad) reader(ctx context.Context, i int, end time.Time) sessionResult {
+// runReader reads random rows of the writers, at another random entry VM after readsPerConnection reads.
+func (r *readLoad) runReader(ctx context.Context, i int, end time.Time) sessionResult {
 	res := sessionResult{latencies: newLatencies()}
 	rng := rand.New(rand.NewPCG(uint64(i), 2))
 	for time.Now().Before(end) && res.err == nil {
-		res.err = r.visit(ctx, rng.IntN(len(r.callers)), fmt.Sprintf("reader-%d", i), "", func(conn *pgx.Conn) error {
+		res.err = r.withConnection(ctx, rng.IntN(len(r.callers)), fmt.Sprintf("reader-%d", i), "", func(conn *pgx.Conn) error {
 			for range readsPerConnection {
 				kind := readerKinds[0]
-				if rng.IntN(100) >= kind.share {
+				if rng.IntN(100) >= kind.percentage {
 					kind = readerKinds[1]
 				}
-				row := rng.IntN(writers)
-				r.read(ctx, conn, kind.kind, row, r.rows[row].valueAt(time.Now().Add(-kind.age)), res.latencies)
+				row := rng.IntN(writerCount)
+				r.read(ctx, conn, kind.kind, row, r.rows[row].valueAt(time.Now().Add(-kind.acceptedAge)), res.latencies)
 			}
 			return nil
 		})
@@ -267,8 +267,8 @@
 	return res
 }
 
-// visit runs work on a new connection.
-func (r *readLoad) visit(ctx context.Context, vm int, session, position string, work func(conn *pgx.Conn) error) error {
+// withConnection runs work on a new connection to an entry VM.
+func (r *readLoad) withConnection(ctx context.Context, vm int, session, position string, work func(conn *pgx.Conn) error) error {
 	conn, err := r.connect(ctx, vm, session, position)
 	if err != nil {
 		return err
@@ -279,7 +279,7 @@
 	return conn.Close(ctx)
 }
 
-// read reads a row and counts the read as stale if its value is below the lowest that is allowed.
+// read reads a row and counts the read as stale if the value is below lowest.
 func (r *readLoad) read(ctx context.Context, conn *pgx.Conn, kind string, row, lowest int, latencies map[string]*hdrhistogram.Histogram) {
 	began := time.Now()
 	var kwh int
@@ -295,7 +295,7 @@
 	time.Sleep(thinkTime)
 }
 
-// counts adds up the reads that the entry VMs have routed.
+// counts returns the total read counters of all entry VMs.
 func (r *readLoad) counts(ctx context.Context) (routeCounts, error) {
 	var sum routeCounts
 	for _, address := range r.admin {
@@ -308,7 +308,7 @@
 	return sum, nil
 }
 
-// readCounts reads the counters of one entry VM.
+// readCounts returns the read counters of an entry VM.
 func readCounts(ctx context.Context, address string) (routeCounts, error) {
 	var dump struct {
 		Route routeCounts `json:"route"`
--- a/bench/sample.go
+++ b/bench/sample.go
@@ -12,13 +12,13 @@
 	"github.com/urfave/cli/v3"
 )
 
-// kibibyte is the unit of memory sizes in /proc.
+// kibibyte is the unit of the memory sizes in /proc, in bytes.
 const kibibyte = 1024
 
 func sampleCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "sample",
-		Usage: "measure the processor time and the memory of a process, and the calls of the platform's store",
+		Usage: "measure the CPU time and the memory of a process, and the calls to the platform's store",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "name", Usage: "`TEXT` at the head of the row"},
 			&cli.IntFlag{Name: "pid", Usage: "process `ID`", Required: true},
@@ -31,7 +31,7 @@
 	}
 }
 
-// storeCalls is what the platform's simulator counts.
+// storeCalls holds the call counters of the platform's simulator.
 type storeCalls struct{ Reads, Writes, Waiting int }
 
 func sample(ctx context.Context, name string, pid int, d time.Duration, platform string) error {
@@ -92,7 +92,7 @@
 func idleCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "idle",
-		Usage: "hold idle callers' connections and measure the entry VM's memory at several numbers",
+		Usage: "hold idle callers' connections and measure the entry VM's memory at several numbers of them",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "address", Usage: "`HOST:PORT` for callers", Required: true},
 			&cli.StringFlag{Name: "database", Usage: "group to use", Required: true},
@@ -105,10 +105,10 @@
 	}
 }
 
-// idleSettle is the wait for the entry VM to release the buffers of connections that became idle.
-const idleSettle = 8 * time.Second
+// idleSettleTime is the time in which the entry VM releases the buffers of connections that became idle.
+const idleSettleTime = 8 * time.Second
 
-func holdIdle(ctx context.Context, address, database string, pid int, at []int) error {
+func holdIdle(ctx context.Context, address, database string, pid int, numbers []int) error {
 	base, err := residentMemory(pid)
 	if err != nil {
 		return err
@@ -119,7 +119,7 @@
 			_ = c.Close(ctx)
 		}
 	}()
-	for _, n := range at {
+	for _, n := range numbers {
 		for len(conns) < n {
 			c, err := pgconn.Connect(ctx, fmt.Sprintf("postgres://bench@%s/%s?sslmode=disable&snipewall.session=s%d", address, database, len(conns)))
 			if err != nil {
@@ -130,7 +130,7 @@
 				return fmt.Errorf("connection %d: %w", len(conns), err)
 			}
 		}
-		if err := sample(ctx, fmt.Sprintf("idle connections %d", n), pid, idleSettle, ""); err != nil {
+		if err := sample(ctx, fmt.Sprintf("idle connections %d", n), pid, idleSettleTime, ""); err != nil {
 			return err
 		}
 		rss, err := residentMemory(pid)
--- a/bench/surge.go
+++ b/bench/surge.go
@@ -15,7 +15,7 @@
 	"snipewall/core/queue"
 )
 
-// surgePolicy is a scheduler under comparison.
+// surgePolicy is a scheduler to compare.
 type surgePolicy struct {
 	name  string
 	build func(queue.Config) queue.Scheduler
@@ -30,39 +30,38 @@
 	}
 }
 
-// surgeReport is the result of one workload under one surge and policy.
+// surgeReport is the result of a workload under a surge and a policy.
 type surgeReport struct {
 	Company, Surge, Policy string
 	Seeds                  []uint64
-	// OfferedWork is the service time of all requests, UsefulWork that of answers in time, both as
-	// shares of the capacity.
+	// OfferedWork is the service time of all requests, UsefulWork that of the requests answered before
+	// their deadline, both as fractions of the capacity.
 	OfferedWork, UsefulWork float64
 	Ranks                   []surgeLine
 	Kinds                   []surgeLine
 }
 
-// surgeLine holds the figures of one rank or kind.
+// surgeLine holds the results of a rank or kind.
 type surgeLine struct {
 	Name                           string
 	Offered, InTime, Late, Refused int64
 	P50Ms, P99Ms                   float64
-	// RefusedP50Ms and RefusedP90Ms are the times after which refusals are known.
+	// RefusedP50Ms and RefusedP90Ms are quantiles of the time from the arrival of a request to its refusal.
 	RefusedP50Ms, RefusedP90Ms float64
-	// TxWaitP99Ms is the p99 time in the queue of a statement in an open transaction.
+	// TxWaitP99Ms is the p99 queueing time of statements in open transactions.
 	TxWaitP99Ms float64
-	// Kept is the number of answers in time as a share of that without a surge.
+	// Kept is the number of answers in time, as a fraction of that without a surge.
 	Kept float64
 	// P99Factor is the p99 as a multiple of that without a surge.
 	P99Factor float64
 }
 
-// surgeCommand compares the schedulers of the admission queue under surges.
 func surgeCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "surge",
 		Usage: "compares the schedulers of the admission queue under surges, on virtual time",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "window", Value: time.Minute, Usage: "simulated time of a surge"},
+			&cli.DurationFlag{Name: "window", Value: time.Minute, Usage: "simulated duration of a surge"},
 			&cli.Uint64SliceFlag{Name: "seed", Value: []uint64{1, 2, 3}, Usage: "seeds of the arrivals"},
 			&cli.StringFlag{Name: "policy", Usage: "only this policy"},
 			&cli.BoolFlag{Name: "kinds", Usage: "print a line for each kind as well"},
@@ -78,7 +77,7 @@
 	}
 }
 
-// runSurges measures all workloads, surges and policies.
+// runSurges measures all combinations of workloads, surges and policies, or those of one policy.
 func runSurges(only string, window time.Duration, seeds []uint64) []surgeReport {
 	var reports []surgeReport
 	for _, load := range workloads() {
@@ -86,7 +85,7 @@
 			if only != "" && only != p.name {
 				continue
 			}
-			base := measureSurge(load, calm(), p, window, seeds, nil)
+			base := measureSurge(load, noSurge(), p, window, seeds, nil)
 			reports = append(reports, base)
 			for _, sg := range surges() {
 				reports = append(reports, measureSurge(load, sg, p, window, seeds, &base))
@@ -96,7 +95,7 @@
 	return reports
 }
 
-// measureSurge runs all seeds and compares with the report without a surge.
+// measureSurge runs all seeds. If base, the report without a surge, is not nil, it compares with it.
 func measureSurge(load workload, sg surge, p surgePolicy, window time.Duration, seeds []uint64, base *surgeReport) surgeReport {
 	report := surgeReport{Company: load.name, Surge: sg.name, Policy: p.name, Seeds: seeds}
 	byKind := make(map[core.Kind]*kindStats)
@@ -152,7 +151,7 @@
 
 // printSurges writes the reports as a table.
 func printSurges(out io.Writer, reports []surgeReport, kinds bool) error {
-	// Flush returns the first error of all writes.
+	// The tabwriter buffers the output, so that Flush returns the errors.
 	w := tabwriter.NewWriter(out, 0, 0, 1, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(w, "Company\tSurge\tPolicy\tName\tOffered\tInTime\tLate\tRefused\tP50Ms\tP99Ms\tRefusedP50Ms\tRefusedP90Ms\tTxWaitP99Ms\tKept%\tP99x\tAsked%\tUseful%\t")
 	for _, r := range reports {
@@ -172,7 +171,7 @@
 	return w.Flush()
 }
 
-// writeSurges writes the reports as JSON.
+// writeSurges writes the reports as JSON to the file, to the standard output for "-", or nowhere for "".
 func writeSurges(path string, reports []surgeReport) error {
 	if path == "" {
 		return nil
--- a/bench/surgesim.go
+++ b/bench/surgesim.go
@@ -12,47 +12,47 @@
 )
 
 const (
-	// warmUp lets estimates settle before the surge begins and measurement starts.
+	// warmUp is the simulated time before the surge and the measurement start, in which the scheduler's
+	// estimates converge.
 	warmUp = 20 * time.Second
-	// sweepTime is the time between two sweeps of queue.Queue.
-	sweepTime = 10 * time.Millisecond
+	// sweepInterval is the interval at which expired requests are removed, as in queue.Queue.
+	sweepInterval = 10 * time.Millisecond
 )
 
-// simulation drives a scheduler through an event loop on virtual time, in the way in which
-// queue.Queue does it on real time.
+// simulation drives a scheduler in an event loop on virtual time, as queue.Queue does in real time.
 type simulation struct {
-	load    workload
-	surge   surge
-	sched   queue.Scheduler
-	start   time.Time
-	end     time.Duration
-	events  events
-	seq     int
-	now     time.Duration
-	running map[*queue.Item]*job
-	waiting map[*queue.Item]*job
-	stats   map[core.Kind]*kindStats
-	useful  time.Duration
-	// asked is the service time of all requests that arrived in the window.
-	asked time.Duration
-}
-
-// job is one request of the simulation.
+	load       workload
+	surge      surge
+	sched      queue.Scheduler
+	start      time.Time
+	end        time.Duration
+	events     events
+	seq        int
+	now        time.Duration
+	running    map[*queue.Item]*job
+	waiting    map[*queue.Item]*job
+	stats      map[core.Kind]*kindStats
+	usefulWork time.Duration
+	// offeredWork is the total service time of the requests that arrived in the window.
+	offeredWork time.Duration
+}
+
+// job is a simulated request.
 type job struct {
-	kind     workKind
-	item     *queue.Item
-	arrived  time.Duration
-	service  time.Duration
-	began    time.Duration
-	measured bool
+	kind      workKind
+	item      *queue.Item
+	arrivedAt time.Duration
+	service   time.Duration
+	startedAt time.Duration
+	measured  bool
 }
 
-// kindStats counts the requests that arrived in the measured window.
+// kindStats holds the results of a kind's requests that arrived in the measured window.
 type kindStats struct {
 	offered, inTime, late, refused int64
-	// latency and refusal hold microseconds from the arrival to the answer.
+	// latency and refusal hold the times from the arrival to the answer or the refusal in microseconds.
 	latency, refusal *hdrhistogram.Histogram
-	// txWait holds microseconds in the queue of statements in open transactions.
+	// txWait holds the queueing times of statements in open transactions in microseconds.
 	txWait *hdrhistogram.Histogram
 }
 
@@ -75,11 +75,11 @@
 	s.txWait.Merge(o.txWait)
 }
 
-// event is something that happens at a time.
+// event is a function to run at a time. seq keeps the order of events at the same time.
 type event struct {
-	at   time.Duration
-	seq  int
-	fire func()
+	at  time.Duration
+	seq int
+	run func()
 }
 
 type events []event
@@ -99,8 +99,8 @@
 	return last
 }
 
-// simulate runs one workload under one surge and returns the statistics by kind and the offered
-// and the useful work as shares of the capacity.
+// simulate runs a workload under a surge. It returns the statistics by kind, and the offered and the useful
+// work as fractions of the capacity.
 func simulate(load workload, sg surge, build func(queue.Config) queue.Scheduler, window time.Duration, seed uint64) (stats map[core.Kind]*kindStats, offered, useful float64) {
 	s := &simulation{
 		load:    load,
@@ -114,35 +114,36 @@
 	}
 	for i, k := range load.kinds {
 		s.stats[k.Kind] = newKindStats()
-		// Each kind has its own stream, so that the surge of one kind leaves the others' arrivals.
+		// Each kind has its own random stream, so that a surge of one kind doesn't change the arrivals
+		// of the others.
 		r := rand.New(rand.NewPCG(seed, uint64(i)))
-		s.arrive(k, r, 0)
+		s.scheduleArrival(k, r, 0)
 	}
 	s.sweep()
 	for len(s.events) > 0 {
 		e := heap.Pop(&s.events).(event)
 		s.now = e.at
-		e.fire()
+		e.run()
 		s.dispatch()
 	}
-	capacity := float64(load.slots) * float64(window-sg.away)
-	return s.stats, float64(s.asked) / capacity, float64(s.useful) / capacity
+	capacity := float64(load.slots) * float64(window-sg.outage)
+	return s.stats, float64(s.offeredWork) / capacity, float64(s.usefulWork) / capacity
 }
 
-func (s *simulation) at(t time.Duration, fire func()) {
+func (s *simulation) schedule(t time.Duration, run func()) {
 	s.seq++
-	heap.Push(&s.events, event{at: t, seq: s.seq, fire: fire})
+	heap.Push(&s.events, event{at: t, seq: s.seq, run: run})
 }
 
 func (s *simulation) clock() time.Time { return s.start.Add(s.now) }
 
-// arrive plans the next arrival of the kind after t.
-func (s *simulation) arrive(k workKind, r *rand.Rand, t time.Duration) {
+// scheduleArrival schedules the next arrival of the kind after t.
+func (s *simulation) scheduleArrival(k workKind, r *rand.Rand, t time.Duration) {
 	rate := k.load * float64(s.load.slots) / k.service.Seconds()
 	if t >= warmUp {
 		rate *= s.surge.factor(k)
-	} else if s.surge.before != nil {
-		rate *= s.surge.before(k)
+	} else if s.surge.warmUpFactor != nil {
+		rate *= s.surge.warmUpFactor(k)
 	}
 	t += time.Duration(r.ExpFloat64() / rate * float64(time.Second))
 	if t >= s.end {
@@ -150,19 +151,19 @@
 	}
 	service := time.Duration(r.ExpFloat64() * float64(k.service))
 	inTx := r.Float64() < k.inTx
-	s.at(t, func() {
+	s.schedule(t, func() {
 		s.offer(k, service, inTx)
-		s.arrive(k, r, t)
+		s.scheduleArrival(k, r, t)
 	})
 }
 
-// offer puts one request in the queue.
+// offer adds a request to the scheduler, which may refuse it.
 func (s *simulation) offer(k workKind, service time.Duration, inTx bool) {
 	it := &queue.Item{Kind: k.Kind, InTx: inTx, Deadline: s.clock().Add(k.Deadline)}
-	j := &job{kind: k, item: it, arrived: s.now, service: service, measured: s.now >= warmUp}
+	j := &job{kind: k, item: it, arrivedAt: s.now, service: service, measured: s.now >= warmUp}
 	if j.measured {
 		s.stats[k.Kind].offered++
-		s.asked += service
+		s.offeredWork += service
 	}
 	if s.sched.Add(s.clock(), it) != nil {
 		s.refuse(j)
@@ -177,10 +178,10 @@
 	}
 	st := s.stats[j.kind.Kind]
 	st.refused++
-	_ = st.refusal.RecordValue(max((s.now - j.arrived).Microseconds(), 1))
+	_ = st.refusal.RecordValue(max((s.now - j.arrivedAt).Microseconds(), 1))
 }
 
-// dispatch refuses late requests and starts others, as queue.Queue does after each event.
+// dispatch refuses expired requests and starts waiting ones, as queue.Queue does after each event.
 func (s *simulation) dispatch() {
 	for _, it := range s.sched.Expire(s.clock()) {
 		s.refuse(s.waiting[it])
@@ -190,33 +191,33 @@
 		j := s.waiting[it]
 		delete(s.waiting, it)
 		s.running[it] = j
-		j.began = s.now
-		s.at(s.finishTime(j), func() { s.finish(j) })
+		j.startedAt = s.now
+		s.schedule(s.finishTime(j), func() { s.finish(j) })
 	}
 }
 
-// finishTime is when the job ends. While the upstream is away no statement makes progress.
+// finishTime returns the time at which the job ends. During the outage no statement makes progress.
 func (s *simulation) finishTime(j *job) time.Duration {
-	away := warmUp + (s.end-warmUp)/2
-	back := away + s.surge.away
-	end := j.began + j.service
+	outageStart := warmUp + (s.end-warmUp)/2
+	outageEnd := outageStart + s.surge.outage
+	end := j.startedAt + j.service
 	switch {
-	case s.surge.away == 0 || end <= away || j.began >= back:
+	case s.surge.outage == 0 || end <= outageStart || j.startedAt >= outageEnd:
 		return end
-	case j.began >= away:
-		return back + j.service
+	case j.startedAt >= outageStart:
+		return outageEnd + j.service
 	}
-	return end + s.surge.away
+	return end + s.surge.outage
 }
 
 func (s *simulation) finish(j *job) {
 	delete(s.running, j.item)
 	s.sched.Done(s.clock(), j.item, true)
-	inTime := s.now-j.arrived <= j.kind.Deadline
+	inTime := s.now-j.arrivedAt <= j.kind.Deadline
 	if inTime {
-		// The useful work of the window includes the parts of statements that overlap it.
+		// A statement that is partly in the window counts with that part.
 		begin, end := max(s.now-j.service, warmUp), min(s.now, s.end)
-		s.useful += max(end-begin, 0)
+		s.usefulWork += max(end-begin, 0)
 	}
 	if !j.measured {
 		return
@@ -227,16 +228,16 @@
 	} else {
 		st.late++
 	}
-	_ = st.latency.RecordValue(max((s.now - j.arrived).Microseconds(), 1))
+	_ = st.latency.RecordValue(max((s.now - j.arrivedAt).Microseconds(), 1))
 	if j.item.InTx {
-		_ = st.txWait.RecordValue(max((j.began - j.arrived).Microseconds(), 1))
+		_ = st.txWait.RecordValue(max((j.startedAt - j.arrivedAt).Microseconds(), 1))
 	}
 }
 
-// sweep lets the queue look for late requests at regular times until the simulation is over.
+// sweep triggers dispatch at sweepInterval until the simulation is over.
 func (s *simulation) sweep() {
 	if s.now >= s.end && len(s.waiting) == 0 {
 		return
 	}
-	s.at(s.now+sweepTime, s.sweep)
+	s.schedule(s.now+sweepInterval, s.sweep)
 }
--- a/bench/tcprelay.go
+++ b/bench/tcprelay.go
@@ -13,7 +13,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// tcpRelayCommand is the baseline of the overhead measurement: it copies bytes and nothing else.
+// tcpRelayCommand runs a relay that only copies bytes, as the baseline of the overhead measurement.
 func tcpRelayCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "tcprelay",
@@ -50,7 +50,7 @@
 	}
 }
 
-// relayConn copies both ways until one side ends.
+// relayConn copies both directions until one of them ends.
 func relayConn(ctx context.Context, conn net.Conn, to string) {
 	defer func() { _ = conn.Close() }()
 	var d net.Dialer
