--- a/Makefile
+++ b/Makefile
@@ -20,7 +20,7 @@
 fmt: ## Fails if a file is not formatted.
 	@out="$$(gofmt -l .)"; if [ -n "$$out" ]; then echo "not formatted:"; echo "$$out"; exit 1; fi
 
-tools: ## Installs the pinned linter and gopls, which renames identifiers, if they are missing.
+tools: ## Installs the pinned linter and gopls (used to rename identifiers) if they are missing.
 	@$(LINT) version 2>/dev/null | grep -q '$(LINT_VERSION:v%=%)' || \
 		$(GO) install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(LINT_VERSION)
 	@$(GOBIN_DIR)/gopls version 2>/dev/null | grep -q '$(GOPLS_VERSION)' || \
@@ -29,39 +29,39 @@
 lint: tools ## Runs the linter.
 	$(LINT) run ./...
 
-test: ## Runs all tests but those that KNOWN-RED.txt lists.
+test: ## Runs all tests except those listed in KNOWN-RED.txt.
 	@scripts/test.sh
 
 DEPLOYMENT ?= gulf-berth
 
-up: build ## Starts a deployment of examples/ on loopback and leaves it running (DEPLOYMENT=gulf-berth).
+up: build ## Starts a deployment of examples/ on loopback in the background (DEPLOYMENT=gulf-berth).
 	@scripts/up.sh $(DEPLOYMENT)
 
-down: ## Stops what `make up` started.
+down: ## Stops the deployment that `make up` started.
 	@scripts/down.sh $(DEPLOYMENT)
 
-demo: build ## Shows a roaming session and a failover on a whole deployment, in under a minute.
+demo: build ## Shows a session that moves between entry VMs, and a failover, in under a minute.
 	@scripts/demo.sh
 
-bench: overhead reads surge ## Runs all measurements, in under five minutes.
+bench: overhead reads surge ## Runs the targets overhead, reads and surge, in under five minutes.
 
-overhead: build ## Measures what snipewall adds to a simple statement.
+overhead: build ## Measures the overhead of snipewall for a simple statement.
 	@scripts/overhead.sh
 
-reads: build ## Measures the share of reads served by replicas at several lags.
+reads: build ## Measures the fraction of reads served by replicas at several replication lags.
 	@scripts/reads.sh
 
-surge: build ## Measures service by rank in surges against baselines.
+surge: build ## Compares the schedulers of the admission queue under load surges, by rank.
 	@bin/bench surge
 
-slopes: build ## Prints the measured numbers that docs/CAPACITY.md uses.
+slopes: build ## Runs the measurements that docs/CAPACITY.md is based on.
 	@scripts/slopes.sh
 
-matrix: ## Runs the fault matrix, one line for each cell.
+matrix: ## Runs the fault matrix and prints one line per cell.
 	$(GO) test -count=1 -v ./matrix | grep -vE '^ *(---|===)'
 
 SEED ?= 0
 FOR ?= 1m
 
-soak: ## Injects faults into real processes for a time (SEED=n FOR=2m; SEED=0 draws one).
+soak: ## Runs real processes under random faults (SEED=n FOR=2m; SEED=0 picks a random seed).
 	$(GO) test -count=1 -v -timeout 1h ./platform -run 'TestSoak$$' -soak.seed $(SEED) -soak.for $(FOR) | grep -v '"Msg"'
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Starts the deployment of the first user, shows a session that roams and a failover, and stops
-# everything that it started.
+# Starts the deployment gulf-berth, shows a session that moves between entry VMs and a failover, and stops
+# the deployment.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 deployment=gulf-berth
--- a/scripts/down.sh
+++ b/scripts/down.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Stops what scripts/up.sh started, by process id. Usage: scripts/down.sh [gulf-berth|hoang-phat]
+# Stops the processes that scripts/up.sh started. Usage: scripts/down.sh [gulf-berth|hoang-phat]
 set -uo pipefail
 cd "$(dirname "$0")/.."
 run=run/${1:-gulf-berth}
--- a/scripts/overhead.sh
+++ b/scripts/overhead.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Measures the overhead of snipewall against a direct connection and a bare TCP relay to the same
-# upstream's simulator: served by the entry VM that owns the upstream, and forwarded by another one.
+# Measures the overhead of snipewall compared with a direct connection and with a plain TCP relay to the
+# same upstream simulator. Statements are served by the entry VM that owns the upstream, or forwarded to it
+# by another one.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 run=run/overhead
@@ -9,7 +10,7 @@
 pids=()
 trap 'kill "${pids[@]}" 2>/dev/null; wait 2>/dev/null || true' EXIT
 
-# start NAME COMMAND... runs a process in the background.
+# start NAME COMMAND... runs a process in the background and logs to run/overhead/NAME.log.
 start() {
 	local name=$1
 	shift
@@ -17,7 +18,7 @@
 	pids+=($!)
 }
 
-settings() { # settings NAME DOMAIN PORT
+settings() { # settings NAME DOMAIN PORT prints the settings of an entry VM
 	cat <<-INI
 		[VM]
 		ID = $1
--- a/scripts/reads.sh
+++ b/scripts/reads.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures the share of reads served by replicas at 0, 50 and 500 ms of replication lag, with and
-# without a position carried by the callers. Fails on a stale read.
+# Measures the fraction of reads served by replicas at replication lags of 0, 50 and 500 ms. Callers send
+# their session's position when they connect, or don't. Fails on a stale read.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 trap 'scripts/down.sh gulf-berth' EXIT
--- a/scripts/slopes.sh
+++ b/scripts/slopes.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Prints the measured numbers that docs/CAPACITY.md uses: memory of idle connections, processor time
-# and memory of a monitored group, and the calls of the platform's store by the number of entry VMs and
-# at events. Entry VMs run on two processors, as small VMs do: idle Go processes spend more time
+# Runs the measurements that docs/CAPACITY.md is based on: the memory of idle connections, the CPU time and
+# memory of a monitored group, and the calls to the platform's store by the number of entry VMs and during
+# certain events. Entry VMs run with GOMAXPROCS=2, as on small VMs: idle Go processes spend more CPU time on
 # looking for work the more processors they have.
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -16,7 +16,7 @@
 trap stop EXIT
 platform=127.0.0.1:29500
 
-# start NAME COMMAND... runs a process in the background.
+# start NAME COMMAND... runs a process in the background and logs to run/slopes/NAME.log.
 start() {
 	local name=$1
 	shift
@@ -24,10 +24,10 @@
 	pids+=($!)
 }
 
-# domain NUMBER prints the failure domain of an entry VM; even ones are in the second domain.
+# domain NUMBER prints the failure domain of an entry VM. Those with an even number are in the second one.
 domain() { [ $(($1 % 2)) -eq 1 ] && echo near || echo far; }
 
-# settings NUMBER PORT GROUPS writes the settings of an entry VM.
+# settings NUMBER PORT GROUPS prints the settings of an entry VM.
 settings() {
 	cat <<-INI
 		[VM]
@@ -57,12 +57,13 @@
 	done
 }
 
-# wait_ready PORT waits until the entry VM with this port for callers is ready.
+# wait_ready PORT waits up to 10 s until the entry VM whose callers' port is PORT is ready.
 wait_ready() {
 	for _ in $(seq 100); do curl -fs -o /dev/null "http://127.0.0.1:$(($1 + 3))/readyz" && break; sleep 0.1; done
 }
 
-# deploy VMS GROUPS starts the platform, the upstreams and the entry VMs.
+# deploy VMS GROUPS starts the platform, the upstreams and the entry VMs, and sets vms to the process ids of
+# the entry VMs. It waits SETTLE seconds at the end.
 deploy() {
 	start platform bin/standin platform --listen "$platform"
 	for ((g = 1; g <= $2; g++)); do
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs all tests with the race detector. Tests that KNOWN-RED.txt lists are passed over and printed.
+# Runs all tests with the race detector, except those listed in KNOWN-RED.txt, whose names are printed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 red=$(grep -vE '^(#|[[:space:]]*$)' KNOWN-RED.txt | cut -d'|' -f1 | tr -d ' ' | paste -sd'|' || true)
--- a/scripts/up.sh
+++ b/scripts/up.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Starts a whole deployment from examples/ on loopback: the platform's simulator, the upstreams'
-# simulators and the entry VMs, each as a process of its own. Writes process ids and logs to
-# run/DEPLOYMENT. Usage: scripts/up.sh [gulf-berth|hoang-phat]
+# Starts a deployment from examples/ on loopback, with one process for each entry VM and for each simulator
+# of the platform and the upstreams. Writes process ids and logs to run/DEPLOYMENT. UPSTREAM_FLAGS holds
+# extra flags for the upstream simulators. Usage: scripts/up.sh [gulf-berth|hoang-phat]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 deployment=${1:-gulf-berth}
@@ -15,7 +15,7 @@
 mkdir -p "$run"
 : > "$run/pids"
 
-# start NAME COMMAND... runs a process in the background and notes its id.
+# start NAME COMMAND... runs a process in the background and appends its id and name to the pids file.
 start() {
 	local name=$1
 	shift
@@ -23,12 +23,12 @@
 	echo "$! $name" >> "$run/pids"
 }
 
-# value FILE SECTION KEY prints a key of an INI file.
+# value FILE SECTION KEY prints the value of a key in an INI file.
 value() {
 	awk -v section="[$2]" -v key="$3" '$0 == section {on=1; next} /^\[/ {on=0} on && $1 == key {print $3}' "$1"
 }
 
-# wait_http URL waits until the URL answers with success.
+# wait_http URL waits until a GET of the URL succeeds.
 wait_http() {
 	for _ in $(seq 100); do
 		curl -fsS -o /dev/null --max-time 1 "$1" 2>/dev/null && return 0
--- a/scripts/upstreams.sh
+++ b/scripts/upstreams.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Lists the upstreams of a settings file, one a line: id, group, address, slots, connections,
-# connect time, role, and for a replica its primary's address. The n-th group starts with its n-th
-# upstream as primary, so that the primaries are spread over the failure domains.
+# Prints the upstreams of a settings file, one per line: id, group, address, slots, connections, connect
+# time, role, and for a replica the address of its primary. In the n-th group the n-th upstream starts as
+# primary, so that the primaries are spread over the failure domains.
 set -euo pipefail
 awk '
 	/^\[Upstream / { id = $2; sub(/\]$/, "", id); ids[++n] = id; next }
