--- a/core/line.go
+++ b/core/line.go
@@ -117,7 +117,7 @@
 // by one goroutine at a time.
 type LineConn interface {
 	// Hello returns the position that the upstream reported when the connection was opened.
-	Hello() Position
+	InitialPosition() Position
 	// Send writes the commands at once.
 	Send(cmds []Command) error
 	// Receive reads the answer to the oldest command that has none. An error means that the
@@ -125,9 +125,9 @@
 	Receive(deadline time.Time) (Answer, error)
 	// Guards reports whether the other side runs nothing after a refused BEGIN until ROLLBACK, so that
 	// statements may be sent along with BEGIN.
-	Guards() bool
+	CanPipelineBegin() bool
 	// Idle reports whether the connection is open and nothing unasked has arrived on it.
-	Idle() bool
+	IsIdle() bool
 	Close() error
 }
 
--- a/core/peers/fetch.go
+++ b/core/peers/fetch.go
@@ -68,8 +68,8 @@
 	return &TableAnswer{Version: version, Data: data}, nil
 }
 
-// AskTable returns the table of a member that has one, for an entry VM that starts.
-func (p *Peers) AskTable(ctx context.Context) ([]byte, error) {
+// FetchTable returns the table of a member that has one, for an entry VM that starts.
+func (p *Peers) FetchTable(ctx context.Context) ([]byte, error) {
 	err := core.ErrPeer.New("no other entry VM is known")
 	for _, vm := range p.sample(maxAsked, "") {
 		data, askErr := p.askOne(ctx, vm)
--- a/core/proxy/fake_test.go
+++ b/core/proxy/fake_test.go
@@ -72,15 +72,15 @@
 	guards   bool
 }
 
-func (l *link) Hello() core.Position {
+func (l *link) InitialPosition() core.Position {
 	l.s.mu.Lock()
 	defer l.s.mu.Unlock()
 	return l.s.log
 }
 
-func (l *link) Idle() bool   { return !l.closed && len(l.answers) == 0 }
-func (l *link) Guards() bool { return l.guards }
-func (l *link) Close() error { l.closed = true; return nil }
+func (l *link) IsIdle() bool           { return !l.closed && len(l.answers) == 0 }
+func (l *link) CanPipelineBegin() bool { return l.guards }
+func (l *link) Close() error           { l.closed = true; return nil }
 
 func (l *link) Send(cmds []core.Command) error {
 	for _, c := range cmds {
--- a/core/proxy/links.go
+++ b/core/proxy/links.go
@@ -135,7 +135,7 @@
 
 // opened returns a new connection as the pools hold it.
 func (n *node) opened(lc core.LineConn, owner core.VMID) *conn {
-	n.notePosition(lc.Hello())
+	n.notePosition(lc.InitialPosition())
 	return &conn{LineConn: lc, owner: owner, used: time.Now()}
 }
 
@@ -248,7 +248,7 @@
 
 // isUsable reports whether the connection may carry the next statement.
 func (n *node) isUsable(c *conn) bool {
-	return !n.p.suspects.has(c.owner) && (time.Since(c.used) < checkAfter || c.Idle())
+	return !n.p.suspects.has(c.owner) && (time.Since(c.used) < checkAfter || c.IsIdle())
 }
 
 // put returns a connection that has no statement in progress.
--- a/core/proxy/single.go
+++ b/core/proxy/single.go
@@ -63,7 +63,7 @@
 	if t.strict {
 		cmds = append(cmds, w.stamp(core.Command{Op: core.OpBegin}))
 	}
-	if t.strict && !c.Guards() {
+	if t.strict && !c.CanPipelineBegin() {
 		ans, err := h.setUp(cmds, w.deadline)
 		if err != nil || ans.Fault != core.FaultNone {
 			return s.setUpFailed(h, ans, err)
--- a/core/table/keeper.go
+++ b/core/table/keeper.go
@@ -32,9 +32,9 @@
 // Peers is what a Keeper needs of the membership.
 type Peers interface {
 	core.Members
-	// AskTable returns the highest version that a few other entry VMs have, as Encoded returns it, or
+	// FetchTable returns the highest version that a few other entry VMs have, as Encoded returns it, or
 	// an error if none answered with a table.
-	AskTable(ctx context.Context) ([]byte, error)
+	FetchTable(ctx context.Context) ([]byte, error)
 	// Announce spreads the version in force at once.
 	Announce()
 }
--- a/core/table/keeper_test.go
+++ b/core/table/keeper_test.go
@@ -61,7 +61,7 @@
 	return p.gen
 }
 
-func (p hubPeers) AskTable(context.Context) ([]byte, error) {
+func (p hubPeers) FetchTable(context.Context) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.answer == nil {
--- a/core/table/watch.go
+++ b/core/table/watch.go
@@ -49,7 +49,7 @@
 		return
 	}
 	for n := 0; n < maxAsks && ctx.Err() == nil && k.Version() == 0; n++ {
-		encoded, err := peers.AskTable(ctx)
+		encoded, err := peers.FetchTable(ctx)
 		if err == nil {
 			_, err = k.Adopt(encoded, sourcePeer)
 		}
--- a/io/hop/client.go
+++ b/io/hop/client.go
@@ -69,7 +69,7 @@
 }
 
 // Hello implements core.LineConn.
-func (c *Conn) Hello() core.Position { return c.hello }
+func (c *Conn) InitialPosition() core.Position { return c.hello }
 
 // Send implements core.LineConn.
 func (c *Conn) Send(cmds []core.Command) error {
@@ -119,10 +119,10 @@
 }
 
 // Guards implements core.LineConn.
-func (c *Conn) Guards() bool { return true }
+func (c *Conn) CanPipelineBegin() bool { return true }
 
 // Idle implements core.LineConn.
-func (c *Conn) Idle() bool {
+func (c *Conn) IsIdle() bool {
 	return !c.leaving && c.broken == nil && c.in.Buffered() == 0 && sock.IsIdle(c.conn)
 }
 
--- a/io/hop/hop_test.go
+++ b/io/hop/hop_test.go
@@ -71,7 +71,7 @@
 func TestBatch(t *testing.T) {
 	e := &echo{}
 	_, c := newPair(t, e)
-	assert.Equal(t, c.Hello(), core.Position{Term: 1, Offset: 3})
+	assert.Equal(t, c.InitialPosition(), core.Position{Term: 1, Offset: 3})
 	cmds := []core.Command{{Text: "a"}, {Text: "b", Deadline: time.Now().Add(700 * time.Millisecond)}, {Text: "c"}}
 	assert.NilError(t, c.Send(cmds))
 	for _, want := range []string{"a", "b", "c"} {
@@ -79,7 +79,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, string(ans.Body), want)
 	}
-	assert.Assert(t, c.Idle())
+	assert.Assert(t, c.IsIdle())
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	assert.Equal(t, e.pauses, 1)
@@ -106,7 +106,7 @@
 	ans, err := c.Receive(time.Now().Add(5 * time.Second))
 	assert.NilError(t, err)
 	assert.Equal(t, string(ans.Body), "a")
-	assert.Assert(t, !c.Idle())
+	assert.Assert(t, !c.IsIdle())
 }
 
 // Guards against an owner that keeps a transaction open after the other VM is gone.
