--- a/core/core_test.go
+++ b/core/core_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against an old primary's longer but unconfirmed tail passing for a newer position.
+// Guards against a wrong order of positions: the unconfirmed tail of an old primary's log can be
+// longer than the new primary's log and must not count as newer.
 func TestPositionCovers(t *testing.T) {
 	tests := []struct {
 		name string
@@ -38,7 +39,7 @@
 	}
 }
 
-// Guards against a refusal that claims "not run" after bytes of the request left the process.
+// Guards against an error that reports "not run" although bytes of the request left the process.
 func TestAttemptRefuse(t *testing.T) {
 	var a Attempt
 	var notRun *NotRunError
@@ -58,14 +59,14 @@
 func (s funcService) Name() string                  { return s.name }
 func (s funcService) Run(ctx context.Context) error { return s.run(ctx) }
 
-// Guards against a process that goes on half alive after one of its services failed.
-func TestKernelStopsAllOnFailure(t *testing.T) {
-	k := NewRegistry()
+// Guards against a process that keeps running without one of its services after that one failed.
+func TestRegistryStopsAllOnFailure(t *testing.T) {
+	r := NewRegistry()
 	failure := errors.New("listener closed")
-	assert.NilError(t, k.Register(funcService{"fails", func(context.Context) error { return failure }}))
-	assert.NilError(t, k.Register(funcService{"waits", func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }}))
-	assert.ErrorIs(t, k.Run(context.Background()), failure)
-	assert.ErrorContains(t, k.Register(funcService{name: "fails"}), "registered twice")
-	_, err := Find[Dumper](k, "fails")
+	assert.NilError(t, r.Register(funcService{"fails", func(context.Context) error { return failure }}))
+	assert.NilError(t, r.Register(funcService{"waits", func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }}))
+	assert.ErrorIs(t, r.Run(context.Background()), failure)
+	assert.ErrorContains(t, r.Register(funcService{name: "fails"}), "registered twice")
+	_, err := Find[Dumper](r, "fails")
 	assert.ErrorContains(t, err, "is a core.funcService")
 }
--- a/core/ids.go
+++ b/core/ids.go
@@ -9,7 +9,7 @@
 type (
 	// VMID names an entry VM.
 	VMID string
-	// GroupID names a database group; callers use it as the database name.
+	// GroupID names a group of database servers; callers use it as the database name.
 	GroupID string
 	// UpstreamID names one database server of a group.
 	UpstreamID string
@@ -23,19 +23,19 @@
 	SessionID string
 	// RequestID names a request that may run at most once.
 	RequestID string
-	// EditID names one accepted change of the operators' table.
+	// EditID names one change of the operators' table.
 	EditID string
 	// LeaseID names a lease granted by the platform's store.
 	LeaseID string
-	// Version is the version of an entry of the platform's store. It only grows; 0 means that the
-	// entry does not exist.
+	// Version is the version of an entry in the platform's store. It increases with each write; 0
+	// means that the entry does not exist.
 	Version uint64
 )
 
 // Rank orders kinds of work by urgency. Lower values are served first.
 type Rank uint8
 
-// The three ranks of work.
+// Ranks, most urgent first.
 const (
 	RankUrgent Rank = iota
 	RankMiddle
@@ -46,7 +46,7 @@
 
 var rankNames = [RankCount]string{"urgent", "middle", "last"}
 
-// String returns the name of the rank as it stands in the operators' table.
+// String returns the name of the rank as used in the operators' table.
 func (r Rank) String() string {
 	if int(r) >= len(rankNames) {
 		return fmt.Sprintf("Rank(%d)", uint8(r))
@@ -54,7 +54,7 @@
 	return rankNames[r]
 }
 
-// ParseRank converts the name of a rank. It returns false if the name is unknown.
+// ParseRank returns the rank with the name, or false if the name is unknown.
 func ParseRank(s string) (Rank, bool) {
 	for i, name := range rankNames {
 		if s == name {
@@ -76,18 +76,18 @@
 	Rate float64
 	// QueueTime limits the time in the queue.
 	QueueTime time.Duration
-	// AcceptedAge is the age of data that reads of this kind accept; 0 asks for current data.
+	// AcceptedAge is the maximum age of data that reads of this kind accept; 0 requires current data.
 	AcceptedAge time.Duration
-	// Idempotent tells that a request of this kind may run more than once.
+	// Idempotent is set if a request of this kind may run more than once.
 	Idempotent bool
-	// Deadline limits the whole request, from its arrival to its last byte.
+	// Deadline limits the whole request, from its arrival to the last byte of the answer.
 	Deadline time.Duration
 }
 
 // Policies looks up the row of a kind. Implementations are safe for concurrent use.
 type Policies interface {
-	// Policy returns the row in force for the kind, or false if the table has no such row.
+	// Policy returns the current row of the kind, or false if the table has none.
 	Policy(kind Kind) (KindPolicy, bool)
-	// Kinds returns all rows in force, sorted by kind.
+	// Kinds returns all current rows, sorted by kind.
 	Kinds() []KindPolicy
 }
--- a/core/line.go
+++ b/core/line.go
@@ -8,35 +8,35 @@
 // Fault is the reason why a statement failed. FaultNone means that it succeeded.
 type Fault uint8
 
-// Faults of statements. Those for which NotRun reports true promise that nothing was kept.
+// Reasons for the failure of a statement. See IsNotRun for those that guarantee that it had no effect.
 const (
 	FaultNone Fault = iota
-	// FaultBusy says that no slot was free in time.
+	// FaultBusy means that no slot was free in time.
 	FaultBusy
-	// FaultOverload says that the upstream is at its connection limit.
+	// FaultOverload means that the upstream is at its connection limit.
 	FaultOverload
-	// FaultLagging says that the upstream lacks the awaited position.
+	// FaultLagging means that the upstream has not reached the required position.
 	FaultLagging
-	// FaultReadOnly says that the upstream is not the primary.
+	// FaultReadOnly means that the upstream is not the primary.
 	FaultReadOnly
-	// FaultMisrouted says that another upstream answered at the address.
+	// FaultMisrouted means that another upstream answered at the address.
 	FaultMisrouted
-	// FaultUnprepared says that the connection lacks the prepared statement.
+	// FaultUnprepared means that the connection does not have the prepared statement.
 	FaultUnprepared
-	// FaultAborted says that the transaction was rolled back.
+	// FaultAborted means that the transaction was rolled back.
 	FaultAborted
-	// FaultFailed says that the statement ran and failed.
+	// FaultFailed means that the statement ran and failed.
 	FaultFailed
-	// FaultTimeout says that the answer didn't arrive in time; the statement may have run.
+	// FaultTimeout means that the answer didn't arrive in time; the statement may have run.
 	FaultTimeout
-	// FaultInDoubt says that the connection broke after the statement was sent; it may have run.
+	// FaultInDoubt means that the connection broke after the statement was sent; it may have run.
 	FaultInDoubt
-	// FaultNoDatabase says that no database of that name is configured.
+	// FaultNoDatabase means that no database of that name is configured.
 	FaultNoDatabase
-	// FaultMalformed says that the statement is not understood, or not allowed in the failed
+	// FaultMalformed means that the statement could not be parsed, or is not allowed in a failed
 	// transaction.
 	FaultMalformed
-	// FaultTooLarge says that the message is longer than the protocol allows.
+	// FaultTooLarge means that the message is longer than the protocol allows.
 	FaultTooLarge
 )
 
@@ -45,10 +45,10 @@
 	"in-doubt", "no-database", "malformed", "too-large",
 }
 
-// String returns the name of the fault for logs and metrics.
+// String returns the name of the fault as used in logs and metrics.
 func (f Fault) String() string { return faultNames[f] }
 
-// IsNotRun reports whether an upstream that answers with the fault has not run the statement.
+// IsNotRun reports whether the fault guarantees that the upstream has not run the statement.
 func (f Fault) IsNotRun() bool {
 	switch f {
 	case FaultBusy, FaultOverload, FaultLagging, FaultReadOnly, FaultMisrouted, FaultUnprepared:
@@ -62,18 +62,18 @@
 
 // Operations of commands.
 const (
-	// OpForward passes a caller's statement on unchanged.
+	// OpForward sends a caller's statement unchanged.
 	OpForward Op = iota
 	// OpExecute runs the prepared statement Name with the arguments in Text.
 	OpExecute
 	OpBegin
 	OpBeginRead
 	OpRollback
-	// OpReset clears the connection's values and prepared statements.
+	// OpReset clears the connection's session values and prepared statements.
 	OpReset
-	// OpSet sets the value Name to Text.
+	// OpSet sets the session value Name to Text.
 	OpSet
-	// OpPrepare prepares the statement Name with the shape in Text.
+	// OpPrepare prepares the statement Name with the parameterized statement in Text.
 	OpPrepare
 )
 
@@ -82,16 +82,17 @@
 	Op Op
 	// ID is the caller's request id; empty for statements that snipewall issues itself.
 	ID RequestID
-	// Name and Text are the operands that the operation names.
+	// Name and Text are the operands; their meaning depends on Op.
 	Name, Text string
-	// Write tells that the prepared shape writes, Commit that the caller's statement ends its
+	// Write is set if the prepared statement writes, Commit if the caller's statement ends its
 	// transaction.
 	Write, Commit bool
-	// Await is the position that the upstream must have, for OpCaller and OpExecute of reads and for
-	// OpBeginRead. The zero value asks for none.
+	// Await is the position that the upstream must have applied, for OpForward and OpExecute of reads
+	// and for OpBeginRead. The zero value requires none.
 	Await Position
-	// Kind and Rank are what the statement queues as, StartBy is until when it may wait for a slot and a
-	// connection, and Deadline until when its answer is useful. Only other VMs use them.
+	// Kind and Rank determine the place in the queue. StartBy is the latest time at which the statement
+	// may get a slot and a connection, and Deadline the latest at which its answer is useful. They are
+	// only used when the command goes to another VM.
 	Kind              Kind
 	Rank              Rank
 	StartBy, Deadline time.Time
@@ -101,15 +102,15 @@
 type Answer struct {
 	// Fault is FaultNone if the command succeeded.
 	Fault Fault
-	// Text explains the fault.
+	// Text is the error message.
 	Text string
-	// Body is the encoded answer of a success without the closing status message. It is valid until
-	// the next call of Receive.
+	// Body is the encoded answer of a successful command without the final status message. It is valid
+	// until the next call of Receive.
 	Body []byte
-	// Signed tells that the upstream signed the answer, as it does for everything that it runs.
+	// Signed is set if the upstream signed the answer, as it does for everything that it runs.
 	Signed bool
 	Status TxStatus
-	// Position is the end of the upstream's log after the command; zero if it wasn't told.
+	// Position is the end of the upstream's log after the command; zero if it was not reported.
 	Position Position
 }
 
@@ -118,26 +119,27 @@
 type LineConn interface {
 	// Hello returns the position that the upstream reported when the connection was opened.
 	InitialPosition() Position
-	// Send writes the commands at once.
+	// Send writes all commands together, without waiting for answers.
 	Send(cmds []Command) error
-	// Receive reads the answer to the oldest command that has none. An error means that the
-	// connection must be closed; it is a net.Error with Timeout() true at the deadline.
+	// Receive reads the answer to the oldest unanswered command. After an error the connection must be
+	// closed; when the deadline passes, the error is a net.Error whose Timeout method returns true.
 	Receive(deadline time.Time) (Answer, error)
-	// Guards reports whether the other side runs nothing after a refused BEGIN until ROLLBACK, so that
-	// statements may be sent along with BEGIN.
+	// CanPipelineBegin reports whether statements may be sent together with BEGIN: after a refused
+	// BEGIN, the other side runs nothing until ROLLBACK.
 	CanPipelineBegin() bool
-	// Idle reports whether the connection is open and nothing unasked has arrived on it.
+	// IsIdle reports whether the connection is open and has received no unsolicited data.
 	IsIdle() bool
 	Close() error
 }
 
-// LineDialer opens connections to upstreams. A refusal at the connection limit is a *RefusedError, a
-// different upstream at the address a *MisroutedError.
+// LineDialer opens connections to upstreams.
 type LineDialer interface {
+	// Dial returns *RefusedError if the upstream is at its connection limit, and *MisroutedError if
+	// another upstream answers at the address.
 	Dial(ctx context.Context, u UpstreamInfo) (LineConn, error)
 }
 
-// MisroutedError says that another upstream than the expected one listens at an address.
+// MisroutedError reports that another upstream than the expected one answers at an address.
 type MisroutedError struct {
 	Upstream UpstreamID
 }
@@ -148,7 +150,7 @@
 
 // Promoter asks the platform to make an upstream the primary of its group.
 type Promoter interface {
-	// Promote returns ErrFenced if the platform refused the call: it has seen a higher fencing token,
-	// or the upstream isn't running. After any other error the call may still take effect.
+	// Promote returns ErrFenced if the platform refused the call because it has seen a higher fencing
+	// token or the upstream isn't running. After any other error the call may still take effect.
 	Promote(ctx context.Context, group GroupID, id UpstreamID, holder VMID, token Version) error
 }
--- a/core/position.go
+++ b/core/position.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// Term numbers the reigns of primaries in a group. Each promotion uses a higher one.
+// Term is the number of a primary's period in a group. Each promotion uses a higher one.
 type Term uint64
 
 // Offset counts the committed transactions in a group's log.
 type Offset uint64
 
-// Position is a place in a group's log. The zero value stands before the first entry.
+// Position is a position in a group's log. The zero value is before the first entry.
 type Position struct {
 	Term   Term
 	Offset Offset
 }
 
-// IsZero reports whether the position stands before the first entry.
+// IsZero reports whether the position is before the first entry.
 func (p Position) IsZero() bool { return p == Position{} }
 
 // Covers reports whether a log whose last entry is at p contains the confirmed entry at q. Both
@@ -34,17 +34,17 @@
 	return p.Offset < q.Offset
 }
 
-// Max returns the position that covers both p and q, when both are confirmed.
+// Max returns a position that covers both p and q, if both are confirmed.
 func (p Position) Max(q Position) Position {
 	return Position{Term: max(p.Term, q.Term), Offset: max(p.Offset, q.Offset)}
 }
 
-// String returns the form TERM/OFFSET, which ParsePosition reads.
+// String formats the position as TERM/OFFSET, which ParsePosition reads.
 func (p Position) String() string {
 	return strconv.FormatUint(uint64(p.Term), 10) + "/" + strconv.FormatUint(uint64(p.Offset), 10)
 }
 
-// ParsePosition reads the form TERM/OFFSET, both decimal.
+// ParsePosition parses TERM/OFFSET, two decimal numbers.
 func ParsePosition(s string) (Position, error) {
 	termText, offsetText, ok := strings.Cut(s, "/")
 	if !ok {
--- a/core/request.go
+++ b/core/request.go
@@ -6,7 +6,7 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// Class is what a statement does, as far as routing needs to know.
+// Class classifies statements for routing.
 type Class uint8
 
 // Classes of statements.
@@ -28,10 +28,10 @@
 	return [...]string{"read", "write", "begin", "begin-read", "end"}[c]
 }
 
-// Request is one unit of work of a caller: a simple query, or the extended-protocol messages up to
-// Sync. It carries everything that an owner needs to decide and run it.
+// Request is one unit of work of a caller: a simple query, or the messages of the extended query
+// protocol up to Sync. It contains everything that an owner needs to admit and run it.
 type Request struct {
-	// ID is unique within the entry VM that received the request; answers carry it.
+	// ID is unique within the entry VM that received the request; answers refer to it.
 	ID      uint64
 	Group   GroupID
 	Kind    Kind
@@ -40,15 +40,15 @@
 	Session SessionID
 	// Position is the confirmed position that the answer must reflect.
 	Position Position
-	// NeedIndex asks for a read index, since the session's last position is not certain.
+	// NeedIndex requires a read index, because the session's last position is not certain.
 	NeedIndex bool
-	// AcceptedAge is the age of data that the kind accepts; 0 asks for current data.
+	// AcceptedAge is the maximum age of data that the kind accepts; 0 requires current data.
 	AcceptedAge time.Duration
-	// RequestID, if set, makes a write run at most once over all entry VMs.
+	// RequestID, if set, makes a write run at most once across all entry VMs.
 	RequestID RequestID
-	// Idempotent tells that a write may be resent.
+	// Idempotent is set if a write may be sent again.
 	Idempotent bool
-	// InTx tells that the request belongs to an open transaction.
+	// InTx is set if the request belongs to an open transaction.
 	InTx bool
 	// Deadline is when the caller's answer is due.
 	Deadline time.Time
@@ -56,7 +56,7 @@
 	// Parse, Bind, Describe and Close are already mapped to names that depend on the SQL only.
 	Messages []pgproto3.FrontendMessage
 	// Prepared holds the Parse message of each named statement that Messages refers to, by name, so
-	// that a connection that lacks it can prepare it first.
+	// that it can be prepared first on a connection that doesn't have it.
 	Prepared map[string]*pgproto3.Parse
 	// Attempt tracks whether the request may have reached an upstream.
 	Attempt *Attempt
@@ -72,27 +72,27 @@
 	TxFailed TxStatus = 'E'
 )
 
-// Result is the end of a request that ran.
+// Result is the result of a request that ran.
 type Result struct {
 	Status TxStatus
-	// Position is the commit position, if the request committed something. Results of an Executor
-	// carry confirmed positions only; results of a Conn carry the position as reported.
+	// Position is the commit position, or zero if the request committed nothing. An Executor returns
+	// confirmed positions only, a Conn the position as reported by the upstream.
 	Position Position
-	// Upstream is where the request ran.
+	// Upstream is the upstream on which the request ran.
 	Upstream UpstreamID
 	// Err is the upstream's error if the request ran and failed. The answer contains it already.
 	Err *SQLError
-	// Tx is the open transaction, when an Executor leaves one open.
+	// Tx is the transaction that an Executor left open, or nil.
 	Tx Tx
 }
 
-// ResponseWriter takes the messages of an answer in order. The message is only valid during the
-// call. ReadyForQuery isn't passed: Result.Status carries it.
+// ResponseWriter receives the messages of an answer in order. A message is only valid during the
+// call. ReadyForQuery isn't passed on; Result.Status contains its status.
 type ResponseWriter interface {
 	Send(msg pgproto3.BackendMessage) error
 }
 
-// Groups tells which groups exist.
+// Groups knows which groups exist.
 type Groups interface {
 	// Has reports whether the group exists.
 	Has(id GroupID) bool
--- a/core/upstream.go
+++ b/core/upstream.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Role is the part that an upstream plays in its group.
+// Role is the role of an upstream in its group.
 type Role uint8
 
 // Roles of an upstream.
@@ -18,7 +18,7 @@
 // String returns the name of the role.
 func (r Role) String() string { return [...]string{"unknown", "primary", "replica"}[r] }
 
-// UpstreamInfo describes an upstream as the settings give it.
+// UpstreamInfo is the configuration of an upstream.
 type UpstreamInfo struct {
 	ID    UpstreamID
 	Group GroupID
@@ -30,41 +30,41 @@
 	Slots int
 	// Connections is the upstream's connection limit.
 	Connections int
-	// ConnectTime is how long a new connection takes.
+	// ConnectTime is the expected time to open a connection.
 	ConnectTime time.Duration
 }
 
-// UpstreamStatus is an upstream's own answer about its place in the group.
+// UpstreamStatus is the replication status that an upstream reports.
 type UpstreamStatus struct {
 	Role Role
 	// Promised is the highest term that the upstream has accepted.
 	Promised Term
 	// Log is the position of the last entry in the log.
 	Log Position
-	// Applied is the position up to which reads see the log.
+	// Applied is the position up to which the log is applied and visible to reads.
 	Applied Position
-	// Heard is the time since a replica last heard from its primary; 0 on a primary, negative if
-	// it never did.
+	// Heard is the time since a replica last heard from its primary; 0 on a primary, negative if it
+	// never has.
 	Heard time.Duration
-	// Leaving tells that the upstream is about to be taken away.
+	// Leaving is set if the upstream is about to be removed.
 	Leaving bool
 }
 
 // Upstream is one database server of a group. Implementations are safe for concurrent use.
 type Upstream interface {
 	Info() UpstreamInfo
-	// Dial opens a connection for requests. It returns *RefusedError if the upstream answered but is
-	// at its connection limit.
+	// Dial opens a connection for requests. It returns *RefusedError if the upstream is at its
+	// connection limit.
 	Dial(ctx context.Context) (Conn, error)
-	// Status asks for the upstream's place in its group.
+	// Status queries the upstream's replication status.
 	Status(ctx context.Context) (UpstreamStatus, error)
-	// Prepare makes the upstream accept the term, which must be above its promised term, and stop
-	// accepting log entries and commits of lower terms. It returns the status afterwards.
+	// Prepare makes the upstream promise the term, which must be higher than its promised term, and
+	// reject log entries and commits of lower terms from then on. It returns the new status.
 	Prepare(ctx context.Context, term Term) (UpstreamStatus, error)
 	// Promote makes the upstream primary of the term, which must be its promised term.
 	Promote(ctx context.Context, term Term) (UpstreamStatus, error)
-	// Follow makes the upstream a replica of the primary at the address in the term, which must be
-	// at least its promised term.
+	// Follow makes the upstream a replica of the primary of the term, which must be at least its
+	// promised term.
 	Follow(ctx context.Context, term Term, primary UpstreamInfo) (UpstreamStatus, error)
 }
 
@@ -74,50 +74,52 @@
 	// Run sends the request and passes the answer to w. It marks the request's Attempt before its
 	// first write. An error reported by the upstream is in Result.Err, not in the error.
 	Run(ctx context.Context, req *Request, w ResponseWriter) (Result, error)
-	// Ping checks that the connection still answers.
+	// Ping checks that the connection still works.
 	Ping(ctx context.Context) error
 	Close() error
 }
 
-// Executor runs requests on one upstream under the upstream's limits: the owner in this process,
-// or a relay to the owner on another entry VM.
+// Executor runs requests on one upstream within the upstream's limits. It is the owner in this
+// process, or a relay to the owner on another entry VM.
 type Executor interface {
 	// Execute admits the request, runs it and, for a write, waits until it is confirmed. Its errors
-	// are *NotRunError, *RedirectError, *UnknownOutcomeError, *DuplicateError, or a transport error,
-	// for which req.Attempt tells whether anything was sent.
+	// are *NotRunError, *RedirectError, *UnknownOutcomeError, *DuplicateError, or a transport error.
+	// After a transport error, req.Attempt.IsSent reports whether anything may have been sent.
 	Execute(ctx context.Context, req *Request, w ResponseWriter) (Result, error)
 }
 
-// SessionIndexer is an executor on the primary that knows which session wrote what.
+// SessionIndexer is implemented by executors on the primary that know which commits are the
+// session's own.
 type SessionIndexer interface {
 	// SessionIndex returns a position that covers every write of the session that was acknowledged
-	// before the call, on whichever entry VM. It is at most the read index.
+	// before the call, by any entry VM. It is at most the read index.
 	SessionIndex(ctx context.Context, session SessionID) (Position, error)
 }
 
-// Tx is an open transaction. It owns an upstream connection until Run returns a Result with status
-// TxIdle or any error, or until Close.
+// Tx is an open transaction. It holds an upstream connection until Run returns an error or a Result
+// with status TxIdle, or until Close.
 type Tx interface {
 	Run(ctx context.Context, req *Request, w ResponseWriter) (Result, error)
 	// Close rolls the transaction back if it is still open. It is idempotent.
 	Close() error
 }
 
-// GroupView is what the monitor of a group knows. Implementations are safe for concurrent use.
+// GroupView is the state of a group as its monitor sees it. Implementations are safe for concurrent
+// use.
 type GroupView interface {
-	// Primary returns the primary and its term, if a majority reported that term recently.
+	// Primary returns the primary and its term, or false if no majority reported that term recently.
 	Primary() (UpstreamID, Term, bool)
 	// Status returns the last status of the upstream and its age.
 	Status(id UpstreamID) (UpstreamStatus, time.Duration, bool)
-	// Confirm waits until a majority of the group holds the commit at p under p's term. It returns
-	// an error if the term was superseded or ctx ended.
+	// Confirm waits until a majority of the group has the commit at p in p's term. It returns an error
+	// if the term was superseded or ctx ended.
 	Confirm(ctx context.Context, p Position) error
 	// ReadIndex returns a position that covers every write acknowledged before the call.
 	ReadIndex(ctx context.Context) (Position, error)
-	// Age returns how old the data of the upstream is at most, or false if unknown.
+	// Age returns an upper bound on the age of the upstream's data, or false if unknown.
 	Age(id UpstreamID) (time.Duration, bool)
 	// WaitApplied waits until the upstream's applied position covers p.
 	WaitApplied(ctx context.Context, id UpstreamID, p Position) error
-	// Suspect asks for an immediate poll, after a request to the upstream failed.
+	// Suspect requests an immediate poll of the upstream, after a request to it failed.
 	Suspect(id UpstreamID)
 }
