--- a/core/owner/answer.go
+++ b/core/owner/answer.go
@@ -12,35 +12,35 @@
 
 var errWithheld = errors.New("the answer is too large to be withheld until the commit is confirmed")
 
-// answer passes an upstream's answer on to the caller. It keeps back the messages that precede any
-// result, so that a request can still be redirected or retried, and for a write everything from the
-// first CommandComplete on, until the commit is confirmed.
+// answer forwards an upstream's answer to the caller. It buffers the messages that precede any result,
+// so that the request can still be redirected or retried, and for a write everything from the first
+// CommandComplete on, until the commit is confirmed.
 type answer struct {
 	w core.ResponseWriter
-	// withhold tells to keep everything from the first CommandComplete on.
+	// withhold is set if everything from the first CommandComplete on must be buffered.
 	withhold bool
-	// movable tells that the request may be redirected after a read-only failure.
-	movable bool
-	max     int
+	// redirectable is set if the request may be redirected after a read-only failure.
+	redirectable bool
+	max          int
 
-	held  []pgproto3.BackendMessage
-	bytes int
-	// complete is set once CommandComplete was withheld.
+	buffered      []pgproto3.BackendMessage
+	bufferedBytes int
+	// complete is set once a CommandComplete was withheld.
 	complete bool
-	// passed is set once the caller may have received a message, readOnly once a read-only failure
-	// was kept from it.
-	passed, readOnly bool
-	// retried is set once an earlier try was sent and lost.
+	// forwarded is set once the caller may have received a message, readOnly once a read-only failure
+	// was withheld from it.
+	forwarded, readOnly bool
+	// retried is set once an earlier attempt was sent and its answer was lost.
 	retried bool
-	// callerErr is the error of the caller's side.
+	// callerErr is the error from writing to the caller.
 	callerErr error
-	// hedge, if set, allows a second attempt while this one is silent.
+	// hedge, if set, may start a second attempt while this one has no answer.
 	hedge *hedge
-	// onFirst is called at the first message. An error ends the answer.
+	// onFirst, if set, is called before the first message. If it returns an error, Send fails with it.
 	onFirst func() error
 }
 
-// Send takes one message of the upstream's answer.
+// Send handles one message of the upstream's answer.
 func (a *answer) Send(msg pgproto3.BackendMessage) error {
 	if first := a.onFirst; first != nil {
 		a.onFirst = nil
@@ -51,48 +51,48 @@
 	if a.readOnly {
 		return nil
 	}
-	if failure, ok := msg.(*pgproto3.ErrorResponse); ok && a.redirects(failure) {
+	if failure, ok := msg.(*pgproto3.ErrorResponse); ok && a.isRedirect(failure) {
 		a.readOnly = true
-		a.held = nil
+		a.buffered = nil
 		return nil
 	}
 	if _, ok := msg.(*pgproto3.CommandComplete); ok && a.withhold {
 		a.complete = true
 	}
-	if a.complete || !a.passed && isPrelude(msg) {
-		return a.hold(msg)
+	if a.complete || !a.forwarded && isPrelude(msg) {
+		return a.buffer(msg)
 	}
 	if err := a.flush(); err != nil {
 		return err
 	}
-	return a.pass(msg)
+	return a.forward(msg)
 }
 
-// redirects reports whether the failure means that a replica got a request for the primary.
-func (a *answer) redirects(failure *pgproto3.ErrorResponse) bool {
-	return a.movable && !a.passed && failure.Code == core.StateReadOnly
+// isRedirect reports whether the failure means that a request for the primary reached a replica.
+func (a *answer) isRedirect(failure *pgproto3.ErrorResponse) bool {
+	return a.redirectable && !a.forwarded && failure.Code == core.StateReadOnly
 }
 
-// flush passes on the messages that were kept back.
+// flush forwards the buffered messages.
 func (a *answer) flush() error {
-	held := a.held
-	a.held, a.bytes = nil, 0
+	held := a.buffered
+	a.buffered, a.bufferedBytes = nil, 0
 	for _, msg := range held {
-		if err := a.pass(msg); err != nil {
+		if err := a.forward(msg); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// reset forgets the messages that were kept back, before a retry.
+// reset drops the buffered messages before a retry.
 func (a *answer) reset() {
-	a.held, a.bytes, a.complete, a.readOnly = nil, 0, false, false
+	a.buffered, a.bufferedBytes, a.complete, a.readOnly = nil, 0, false, false
 	a.retried = true
 }
 
-func (a *answer) pass(msg pgproto3.BackendMessage) error {
-	a.passed = true
+func (a *answer) forward(msg pgproto3.BackendMessage) error {
+	a.forwarded = true
 	if err := a.w.Send(msg); err != nil {
 		a.callerErr = err
 		return fmt.Errorf("caller: %w", err)
@@ -100,20 +100,20 @@
 	return nil
 }
 
-func (a *answer) hold(msg pgproto3.BackendMessage) error {
+func (a *answer) buffer(msg pgproto3.BackendMessage) error {
 	c, n, err := copyMessage(msg)
 	if err != nil {
 		return err
 	}
-	a.bytes += n
-	if a.bytes > a.max {
+	a.bufferedBytes += n
+	if a.bufferedBytes > a.max {
 		return errWithheld
 	}
-	a.held = append(a.held, c)
+	a.buffered = append(a.buffered, c)
 	return nil
 }
 
-// isPrelude reports whether the message comes before any result of the statement.
+// isPrelude reports whether the message precedes all results of the statement.
 func isPrelude(msg pgproto3.BackendMessage) bool {
 	switch msg.(type) {
 	case *pgproto3.ParseComplete, *pgproto3.BindComplete, *pgproto3.CloseComplete, *pgproto3.NoData,
@@ -123,7 +123,7 @@
 	return false
 }
 
-// copyMessage returns a copy that stays valid after the call of Send, and its encoded size.
+// copyMessage returns a copy that stays valid after Send has returned, and its encoded size.
 func copyMessage(msg pgproto3.BackendMessage) (pgproto3.BackendMessage, int, error) {
 	switch msg.(type) {
 	case *pgproto3.ParseComplete:
--- a/core/owner/bench_test.go
+++ b/core/owner/bench_test.go
@@ -8,7 +8,7 @@
 	"snipewall/core"
 )
 
-// BenchmarkRead measures the owner's own work for a read on an upstream that answers at once.
+// BenchmarkRead measures the owner's overhead for a read on an upstream that answers at once.
 func BenchmarkRead(b *testing.B) {
 	f := newFixture(func(_ *Config, f *fixture) { f.up.service, f.up.info.ConnectTime, f.up.info.Slots = 0, 0, 8 })
 	ctx, cancel := context.WithCancel(context.Background())
--- a/core/owner/check.go
+++ b/core/owner/check.go
@@ -7,19 +7,19 @@
 	"snipewall/core"
 )
 
-// target is what a request was found to need before it was queued.
-type target struct {
-	// primary tells that the request is served because the upstream is the primary.
+// requirement is what a request needs from the upstream, as determined before queueing.
+type requirement struct {
+	// primary is set if the request is served because the upstream is the primary.
 	primary bool
-	// position is what the answer must reflect.
+	// position is the position that the answer must reflect.
 	position core.Position
 }
 
-// check decides whether the upstream may serve the request. It waits a bounded time for a read
-// index and for a replica to catch up.
-func (o *Owner) check(ctx context.Context, path Path, req *core.Request) (target, error) {
-	t := target{position: req.Position}
-	if err := o.step(ctx, path, StepCheck, req); err != nil {
+// check decides whether the upstream can serve the request. It waits a limited time for a read index
+// and for a replica to catch up.
+func (o *Owner) check(ctx context.Context, path Path, req *core.Request) (requirement, error) {
+	t := requirement{position: req.Position}
+	if err := o.runHook(ctx, path, StepCheck, req); err != nil {
 		return t, req.Attempt.Refuse(core.StateUnavailable, err.Error(), 0)
 	}
 	primary, _, ok := o.cfg.View.Primary()
@@ -39,8 +39,8 @@
 	return t, o.recheck(req, t)
 }
 
-// recheck repeats the part of check that doesn't wait, right before the request runs.
-func (o *Owner) recheck(req *core.Request, t target) error {
+// recheck repeats the checks that don't wait, immediately before the request runs.
+func (o *Owner) recheck(req *core.Request, t requirement) error {
 	if t.primary {
 		return o.checkTerm(t.position)
 	}
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// checkTerm requires that the upstream is the primary of the term that the monitor knows.
+// checkTerm requires that the upstream is the primary of the term that the monitor reports.
 func (o *Owner) checkTerm(p core.Position) error {
 	primary, term, ok := o.cfg.View.Primary()
 	if !ok || primary != o.id {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// checkLeaving refuses new work on an upstream that is about to be taken away.
+// checkLeaving refuses new requests on an upstream that is about to be removed.
 func (o *Owner) checkLeaving(primary bool) error {
 	if !o.cfg.Leaving() {
 		o.leavingSince.Store(0)
@@ -93,9 +93,9 @@
 	return o.redirect("the upstream is leaving")
 }
 
-// checkIndex obtains a read index if the session's last position is not certain, or if a replica is
-// asked for current data.
-func (o *Owner) checkIndex(ctx context.Context, path Path, req *core.Request, t *target) error {
+// checkIndex obtains a read index if the session's last position is not certain, or if a replica has
+// to return current data.
+func (o *Owner) checkIndex(ctx context.Context, path Path, req *core.Request, t *requirement) error {
 	current := !t.primary && req.AcceptedAge <= 0
 	if req.Class == core.ClassWrite || req.Class == core.ClassEnd || !req.NeedIndex && !current {
 		return nil
@@ -112,21 +112,21 @@
 }
 
 func (o *Owner) readIndex(ctx context.Context, path Path, req *core.Request) (core.Position, error) {
-	if err := o.step(ctx, path, StepIndex, req); err != nil {
+	if err := o.runHook(ctx, path, StepIndex, req); err != nil {
 		return core.Position{}, err
 	}
 	return o.cfg.View.ReadIndex(ctx)
 }
 
-// checkCatchUp waits until a replica has applied the position.
-func (o *Owner) checkCatchUp(ctx context.Context, path Path, req *core.Request, t target) error {
+// checkCatchUp waits until a replica has applied the required position.
+func (o *Owner) checkCatchUp(ctx context.Context, path Path, req *core.Request, t requirement) error {
 	if t.primary || t.position.IsZero() {
 		return nil
 	}
 	if status, _, ok := o.cfg.View.Status(o.id); ok && status.Applied.Covers(t.position) {
 		return nil
 	}
-	if err := o.step(ctx, path, StepCatchUp, req); err != nil {
+	if err := o.runHook(ctx, path, StepCatchUp, req); err != nil {
 		return o.redirect(err.Error())
 	}
 	limit := o.cfg.CatchUp[req.Rank]
@@ -141,13 +141,13 @@
 	return nil
 }
 
-// needsPrimary reports whether only the primary may serve the request.
+// needsPrimary reports whether only the primary can serve the request.
 func needsPrimary(req *core.Request) bool {
 	return req.Class == core.ClassWrite || req.Class == core.ClassBegin
 }
 
-// redirectRead names another replica that can serve the read now, or else the primary.
-func (o *Owner) redirectRead(req *core.Request, t target, reason string) error {
+// redirectRead redirects to another replica that can serve the read now, or else to the primary.
+func (o *Owner) redirectRead(req *core.Request, t requirement, reason string) error {
 	e := o.redirect(reason)
 	for _, info := range o.cfg.Group {
 		if info.ID != o.id && info.ID != e.Primary && o.canRead(info.ID, req, t) {
@@ -158,8 +158,8 @@
 	return e
 }
 
-// canRead reports whether the replica is known to have what the read needs.
-func (o *Owner) canRead(id core.UpstreamID, req *core.Request, t target) bool {
+// canRead reports whether the replica is known to satisfy the read.
+func (o *Owner) canRead(id core.UpstreamID, req *core.Request, t requirement) bool {
 	status, _, ok := o.cfg.View.Status(id)
 	if !ok || status.Role != core.RoleReplica || status.Leaving || !status.Applied.Covers(t.position) {
 		return false
@@ -171,8 +171,8 @@
 	return ok && age <= req.AcceptedAge
 }
 
-// redirect builds the answer for a request that the upstream may not serve. It names the primary
-// unless that is this upstream, which would send the request in a circle.
+// redirect returns the error for a request that this upstream can't serve. It names the primary unless
+// that is this upstream, which would cause a redirect loop.
 func (o *Owner) redirect(reason string) *core.RedirectError {
 	o.metrics.redirected.Inc(1)
 	e := &core.RedirectError{Group: o.info.Group, Reason: reason}
--- a/core/owner/check_test.go
+++ b/core/owner/check_test.go
@@ -11,8 +11,8 @@
 	"snipewall/core"
 )
 
-// Guards against reads that wait long for a replica that is known to be far behind: urgent reads
-// wait least, and the redirect names an upstream that can serve the read.
+// Guards against reads that wait long for a replica that is known to be far behind. Urgent reads wait
+// least, and the redirect must name an upstream that can serve the read.
 func TestReadOfLaggingReplica(t *testing.T) {
 	behind := core.Position{Term: 1, Offset: 5}
 	wanted := core.Position{Term: 1, Offset: 9}
@@ -45,8 +45,8 @@
 	}
 }
 
-// Guards against "has run before" for a write that an isolated primary committed and a failover
-// then loses: the caller takes the answer for an acknowledgment.
+// Guards against reporting "has run before" for a write that an isolated primary committed and a
+// failover then loses: the caller takes that answer for an acknowledgment.
 func TestDuplicateIsConfirmed(t *testing.T) {
 	duplicate := func(_ *Config, f *fixture) {
 		f.view.index = core.Position{Term: 1, Offset: 9}
--- a/core/owner/config.go
+++ b/core/owner/config.go
@@ -13,21 +13,21 @@
 
 // Defaults of Config.
 const (
-	defaultSlots       = 2
-	defaultConnections = 20
-	defaultSpare       = 2
-	defaultConnect     = 500 * time.Millisecond
-	defaultTxIdle      = 30 * time.Second
-	defaultRequestTime = 30 * time.Second
-	defaultLeaveGrace  = 3 * time.Second
-	defaultRetryRatio  = 0.1
-	// budgetBurst is the number of retries that may follow each other without any other traffic.
-	budgetBurst        = 10
-	defaultMaxWithheld = 1 << 20
+	defaultSlots               = 2
+	defaultConnections         = 20
+	defaultReservedConnections = 2
+	defaultConnectTimeout      = 500 * time.Millisecond
+	defaultTxIdleTimeout       = 30 * time.Second
+	defaultRequestTimeout      = 30 * time.Second
+	defaultLeaveGrace          = 3 * time.Second
+	defaultRetryRatio          = 0.1
+	// retryBurst is the number of retries that are possible in a row without other traffic.
+	retryBurst              = 10
+	defaultMaxWithheldBytes = 1 << 20
 )
 
-// Config describes the owner of one upstream. Upstream, View and Policies are required; other zero
-// values stand for the defaults.
+// Config configures the owner of one upstream. Upstream, View and Policies are required; zero values
+// of the other fields select the defaults.
 type Config struct {
 	Upstream core.Upstream
 	View     core.GroupView
@@ -36,48 +36,48 @@
 	Leaving func() bool
 	Log     log.Logger
 	Metrics tally.Scope
-	// Scheduler builds the scheduler of the queue; the default is queue.Shares.
+	// Scheduler creates the scheduler of the queue; the default is queue.NewShares.
 	Scheduler func(cfg queue.Config) queue.Scheduler
 	// Hook is called before each step of a request. An error makes the step fail.
 	Hook Hook
-	// Warm is the number of connections kept ready, by default one more than the slots.
-	Warm int
-	// Spare is the number of the upstream's connections that are left to monitors and to other
-	// owners.
-	Spare int
-	// Group lists the upstreams of the group, which a redirect may name.
+	// MinIdle is the number of idle connections kept open, by default one more than the slots.
+	MinIdle int
+	// ReservedConnections is the number of the upstream's connections that are left to monitors and to
+	// other owners.
+	ReservedConnections int
+	// Group lists the upstreams of the group, to which reads can be redirected.
 	Group []core.UpstreamInfo
-	// CatchUp limits for each rank how long a read waits for a replica to apply a position before it
-	// goes to the primary.
+	// CatchUp is, for each rank, how long a read waits for a replica to apply a position before it is
+	// redirected.
 	CatchUp [core.RankCount]time.Duration
-	// Connect limits the wait for a connection. The request holds its slot meanwhile, and when
-	// another owner has most of the upstream's connections, only statements of open transactions
-	// can free one, which need the slots.
-	Connect time.Duration
-	// TxIdle is how long an open transaction may stay without a statement.
-	TxIdle time.Duration
-	// RequestTime limits a request without a deadline.
-	RequestTime time.Duration
-	// LeaveGrace is how long a leaving primary goes on with new work, so that failover can replace
-	// it first.
+	// ConnectTimeout limits the wait for a connection. The request holds its slot meanwhile. When another
+	// owner uses most of the upstream's connections, only statements of open transactions can free a
+	// connection here, and they need the slots.
+	ConnectTimeout time.Duration
+	// TxIdleTimeout is how long a transaction may stay open without a statement.
+	TxIdleTimeout time.Duration
+	// RequestTimeout limits a request that has no deadline.
+	RequestTimeout time.Duration
+	// LeaveGrace is how long a leaving primary continues to accept requests, so that a failover can
+	// replace it first.
 	LeaveGrace time.Duration
-	// RetryRatio is the number of retries per request, averaged over the traffic.
+	// RetryRatio is the allowed number of retries per request, averaged over the traffic.
 	RetryRatio float64
-	// MaxWithheld limits the bytes of an answer that are kept until the commit is confirmed.
-	MaxWithheld int
+	// MaxWithheldBytes limits the part of an answer that is buffered until the commit is confirmed.
+	MaxWithheldBytes int
 }
 
-// defaultCatchUp makes urgent reads quick and keeps the primary free of reads that can wait.
+// defaultCatchUp keeps urgent reads fast, and keeps reads that can wait off the primary.
 var defaultCatchUp = [core.RankCount]time.Duration{
 	core.RankUrgent: 5 * time.Millisecond,
 	core.RankMiddle: 20 * time.Millisecond,
 	core.RankLast:   100 * time.Millisecond,
 }
 
-// Hook observes or fails the steps of requests.
+// Hook observes the steps of requests or makes them fail.
 type Hook func(ctx context.Context, path Path, step Step, req *core.Request) error
 
-// withDefaults replaces zero values by the defaults.
+// withDefaults replaces zero values with the defaults.
 func (c Config) withDefaults() Config {
 	if c.Leaving == nil {
 		c.Leaving = func() bool { return false }
@@ -94,16 +94,16 @@
 	if c.Hook == nil {
 		c.Hook = func(context.Context, Path, Step, *core.Request) error { return nil }
 	}
-	setDefault(&c.Spare, defaultSpare)
+	setDefault(&c.ReservedConnections, defaultReservedConnections)
 	for rank, limit := range defaultCatchUp {
 		setDefault(&c.CatchUp[rank], limit)
 	}
-	setDefault(&c.Connect, defaultConnect)
-	setDefault(&c.TxIdle, defaultTxIdle)
-	setDefault(&c.RequestTime, defaultRequestTime)
+	setDefault(&c.ConnectTimeout, defaultConnectTimeout)
+	setDefault(&c.TxIdleTimeout, defaultTxIdleTimeout)
+	setDefault(&c.RequestTimeout, defaultRequestTimeout)
 	setDefault(&c.LeaveGrace, defaultLeaveGrace)
 	setDefault(&c.RetryRatio, defaultRetryRatio)
-	setDefault(&c.MaxWithheld, defaultMaxWithheld)
+	setDefault(&c.MaxWithheldBytes, defaultMaxWithheldBytes)
 	return c
 }
 
@@ -113,8 +113,8 @@
 	}
 }
 
-// limits derives the sizes of the queue and the pool from the upstream's description.
-func (c Config) limits(info core.UpstreamInfo) (slots, connections, maxOpen, warm int) {
+// limits derives the sizes of the queue and the pool from the upstream's configuration.
+func (c Config) limits(info core.UpstreamInfo) (slots, connections, maxOpen, minIdle int) {
 	slots = info.Slots
 	if slots <= 0 {
 		slots = defaultSlots
@@ -123,12 +123,12 @@
 	if connections <= 0 {
 		connections = defaultConnections
 	}
-	connections = max(connections-c.Spare, slots+1)
-	// A request that holds a slot never waits for a connection that open transactions occupy.
+	connections = max(connections-c.ReservedConnections, slots+1)
+	// A request that holds a slot must never wait for a connection that an open transaction holds.
 	maxOpen = connections - slots
-	warm = c.Warm
-	if warm <= 0 {
-		warm = slots + 1
+	minIdle = c.MinIdle
+	if minIdle <= 0 {
+		minIdle = slots + 1
 	}
-	return slots, connections, maxOpen, warm
+	return slots, connections, maxOpen, minIdle
 }
--- a/core/owner/doc.go
+++ b/core/owner/doc.go
@@ -1,13 +1,12 @@
-// Package owner is the owner's work for one upstream: it decides whether a request may be served
-// there, queues it for a slot, runs it on a pooled connection and confirms what it committed.
+// Package owner serves the requests for one upstream: it decides whether the upstream can serve a
+// request, queues the request for a slot, runs it on a pooled connection and confirms its commit.
 //
-// A request that the upstream may not serve is answered with *core.RedirectError before anything
-// ran. The end of a write's answer is withheld until a majority of the group holds the commit; if
-// that can't be confirmed in time, the outcome is unknown. A connection that failed, timed out or
-// was canceled is closed and never used for another request, so that a late answer can't reach
-// anybody else.
+// A request that the upstream can't serve is answered with *core.RedirectError before anything runs.
+// The end of a write's answer is withheld until a majority of the group has the commit; if that can't
+// be confirmed in time, the outcome is unknown. A connection that failed, timed out or was canceled is
+// closed and never reused, so that a late answer can't reach another caller.
 //
-// Steps and Hook let the fault matrix enumerate the steps of each path and inject faults at them.
+// Steps and Hook let the fault matrix enumerate the steps of each path and inject faults there.
 //
 // # Usage
 //
@@ -15,13 +14,13 @@
 //		Upstream: upstream,
 //		View:     monitor,
 //		Policies: table,
-//		Leaving:  func() bool { return members.Leaving(id) },
+//		Leaving:  func() bool { return members.IsLeaving(id) },
 //		Log:      logger,
 //		Metrics:  scope,
 //	})
-//	if err := kernel.Register(o); err != nil {
+//	if err := registry.Register(o); err != nil {
 //		return err
 //	}
 //
-// On a planned stop, Drain finishes the work in flight before the context of Run ends.
+// On a planned stop, call Drain before ending the context of Run, so that requests in flight complete.
 package owner
--- a/core/owner/fake_test.go
+++ b/core/owner/fake_test.go
@@ -22,7 +22,7 @@
 
 var errReset = errors.New("connection reset")
 
-// fakeUpstream is an upstream whose statements take service time and whose commits count up.
+// fakeUpstream is an upstream with a fixed service time, whose commit positions count up.
 type fakeUpstream struct {
 	mu       sync.Mutex
 	info     core.UpstreamInfo
@@ -33,11 +33,11 @@
 	service  time.Duration
 	// before is called in a connection's Run before the statement takes effect, after once it has.
 	before, after func(ctx context.Context, req *core.Request) error
-	// script, if set, replaces what a connection does.
+	// script, if set, replaces the behavior of a connection's Run.
 	script func(w core.ResponseWriter) (core.Result, error)
 
 	conns, maxConns, running, maxRunning, ran, rollbacks int
-	// effects counts by request how often a statement took effect.
+	// effects counts, by request, how often a statement took effect.
 	effects map[uint64]int
 }
 
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// Run executes a statement. It panics when a connection is used after a failure, which would mix up
+// Run executes a statement. It panics if a connection is used after a failure, since that could mix up
 // the answers of two requests.
 func (c *fakeConn) Run(ctx context.Context, req *core.Request, w core.ResponseWriter) (core.Result, error) {
 	if c.failed || c.closed {
@@ -164,7 +164,7 @@
 	return res, w.Send(&pgproto3.CommandComplete{CommandTag: []byte(req.Class.String())})
 }
 
-// effect applies the statement's class to the transaction status.
+// effect returns the transaction status after the statement.
 func (c *fakeConn) effect(req *core.Request) core.TxStatus {
 	switch req.Class {
 	case core.ClassBegin, core.ClassBeginRead:
@@ -187,7 +187,7 @@
 	}
 }
 
-// fakeView is a monitor whose knowledge a test sets.
+// fakeView is a monitor whose state is set by the test.
 type fakeView struct {
 	mu       sync.Mutex
 	primary  core.UpstreamID
@@ -198,7 +198,7 @@
 	index    core.Position
 	confirm  func(ctx context.Context, p core.Position) error
 	suspects int
-	// confirmed holds the positions that Confirm vouched for.
+	// confirmed holds the positions for which Confirm returned without an error.
 	confirmed map[core.Position]bool
 }
 
@@ -279,7 +279,7 @@
 
 func (p *fakePolicies) Kinds() []core.KindPolicy { return nil }
 
-// caller keeps the answer that it received.
+// caller records the answer that it receives.
 type caller struct {
 	mu   sync.Mutex
 	got  []string
@@ -306,7 +306,7 @@
 	return append([]string(nil), c.got...)
 }
 
-// fixture is an owner of the primary with fakes at its interfaces.
+// fixture is the owner of a primary, connected to fakes.
 type fixture struct {
 	*Owner
 	up       *fakeUpstream
@@ -316,7 +316,7 @@
 	nextID   atomic.Uint64
 }
 
-// run runs the scenario on the fake clock with an owner that the change function may adapt.
+// run runs the scenario with the fake clock, on an owner that the change function may adapt.
 func run(t *testing.T, change func(cfg *Config, f *fixture), scenario func(t *testing.T, f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/core/owner/hedge.go
+++ b/core/owner/hedge.go
@@ -10,111 +10,111 @@
 )
 
 const (
-	// silentShare is the part of the remaining time after which a read without any answer gets a
+	// hedgeDelayShare is the part of the remaining time after which a read without any answer gets a
 	// second attempt at the latest.
-	silentShare = 0.5
-	// silentFactor keeps statements that usually take long from being attempted twice too early, as a
-	// multiple of the kind's service time.
-	silentFactor = 4
-	// silentMin is the shortest silence that counts.
-	silentMin = 500 * time.Millisecond
+	hedgeDelayShare = 0.5
+	// hedgeDelayFactor is a multiple of the kind's service time, which avoids a needless second attempt of
+	// statements that usually take long.
+	hedgeDelayFactor = 4
+	// minHedgeDelay is the lower limit of the service-time based delay.
+	minHedgeDelay = 500 * time.Millisecond
 )
 
 var (
-	errSilent = errors.New("another attempt answered while the connection was silent")
-	errBeaten = errors.New("another attempt answered first")
+	errFirstSilent   = errors.New("another attempt answered while the connection was silent")
+	errOtherAnswered = errors.New("another attempt answered first")
 )
 
-// silentTime returns how long a read waits for the first message before a second attempt starts.
-func (o *Owner) silentTime(ctx context.Context, req *core.Request) time.Duration {
+// hedgeDelay returns how long a read waits for the first message before a second attempt starts.
+func (o *Owner) hedgeDelay(ctx context.Context, req *core.Request) time.Duration {
 	deadline, _ := ctx.Deadline()
-	share := time.Duration(silentShare * float64(time.Until(deadline)))
-	return min(share, max(silentMin, silentFactor*o.queue.Estimate(req.Kind)))
+	share := time.Duration(hedgeDelayShare * float64(time.Until(deadline)))
+	return min(share, max(minHedgeDelay, hedgeDelayFactor*o.queue.Estimate(req.Kind)))
 }
 
-// hedge runs a read a second time, on another connection, while the first attempt is silent: its
-// connection may be lost without a sign, or the statement may just be slow. The first attempt goes
-// on, so that a slow statement keeps its whole time. Whichever answers first is passed on.
+// hedge runs a read a second time on another connection while the first attempt has no answer: its
+// connection may be dead without an error, or the statement may just be slow. The first attempt
+// continues, so that a slow statement keeps its full time. The first answer wins and is forwarded.
 type hedge struct {
 	owner *Owner
 	req   *core.Request
 
 	mu     sync.Mutex
 	winner *answer
-	// settled tells that the first attempt has ended.
-	settled bool
-	// end delivers the second attempt's result; it is nil if there is none.
-	end    chan hedgeEnd
+	// firstDone is set once the first attempt has ended.
+	firstDone bool
+	// result delivers the second attempt's result; it is nil without a second attempt.
+	result chan hedgeResult
 	second *answer
-	// cancel ends the second attempt.
+	// cancel cancels the second attempt.
 	cancel context.CancelFunc
 }
 
-type hedgeEnd struct {
+type hedgeResult struct {
 	res core.Result
 	err error
 }
 
-// claim makes the attempt the one that is passed on.
+// claim selects the attempt whose answer is forwarded. It fails if another one was selected before.
 func (h *hedge) claim(a *answer) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.winner != nil {
-		return errBeaten
+		return errOtherAnswered
 	}
 	h.winner = a
 	return nil
 }
 
-// launch starts the second attempt, if the budget allows one. cancelFirst ends the first attempt.
+// launch starts the second attempt if the retry budget allows it. cancelFirst ends the first attempt.
 func (h *hedge) launch(ctx context.Context, first *answer, cancelFirst context.CancelCauseFunc) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.settled || h.winner != nil || h.end != nil || !h.owner.retries.Withdraw() {
+	if h.firstDone || h.winner != nil || h.result != nil || !h.owner.retries.Withdraw() {
 		return
 	}
 	h.owner.metrics.retries.Inc(1)
-	a := &answer{w: first.w, movable: true, max: first.max}
+	a := &answer{w: first.w, redirectable: true, max: first.max}
 	a.onFirst = func() error {
 		if err := h.claim(a); err != nil {
 			return err
 		}
-		cancelFirst(errSilent)
+		cancelFirst(errFirstSilent)
 		return nil
 	}
 	req := *h.req
 	req.Attempt = &core.Attempt{}
 	ctx, h.cancel = context.WithCancel(ctx)
-	end := make(chan hedgeEnd, 1)
-	h.end, h.second = end, a
+	result := make(chan hedgeResult, 1)
+	h.result, h.second = result, a
 	go func() {
 		res, err := h.owner.serveOnce(ctx, PathRead, &req, a)
-		end <- hedgeEnd{res: res, err: err}
+		result <- hedgeResult{res: res, err: err}
 	}()
 }
 
-// settle returns the result of the attempt that was passed on, given that of the first one.
+// settle returns the result of the attempt that was forwarded, given the result of the first one.
 func (h *hedge) settle(first *answer, res core.Result, err error) (core.Result, error) {
 	h.mu.Lock()
-	h.settled = true
-	end, won := h.end, h.winner == first
+	h.firstDone = true
+	result, firstWon := h.result, h.winner == first
 	h.mu.Unlock()
-	if end == nil {
+	if result == nil {
 		return res, err
 	}
 	defer h.cancel()
-	var lost *lostError
-	if won || !errors.As(err, &lost) {
+	var lost *lostAnswerError
+	if firstWon || !errors.As(err, &lost) {
 		h.cancel()
-		<-end
+		<-result
 		return res, err
 	}
-	other := <-end
+	other := <-result
 	if h.winner != h.second {
-		// The second attempt's refusal says nothing about the first one, which was sent.
+		// The second attempt's error says nothing about the first one, which was sent.
 		return res, err
 	}
-	first.passed = first.passed || h.second.passed
+	first.forwarded = first.forwarded || h.second.forwarded
 	first.callerErr = errors.Join(first.callerErr, h.second.callerErr)
 	return other.res, other.err
 }
--- a/core/owner/metrics.go
+++ b/core/owner/metrics.go
@@ -2,7 +2,6 @@
 
 import "github.com/uber-go/tally/v4"
 
-// metrics counts the owner's work.
 type metrics struct {
 	requests, refused, redirected, unknown, retries, transactions tally.Counter
 	queueTime, confirmTime                                        tally.Timer
--- a/core/owner/owner.go
+++ b/core/owner/owner.go
@@ -15,10 +15,9 @@
 	"snipewall/core/retry"
 )
 
-// sweepTime is the time between two looks for idle transactions.
-const sweepTime = 100 * time.Millisecond
+const idleCheckInterval = 100 * time.Millisecond
 
-// Owner runs requests on one upstream under its limits. It is safe for concurrent use.
+// Owner runs requests on one upstream within its limits. It is safe for concurrent use.
 type Owner struct {
 	cfg     Config
 	info    core.UpstreamInfo
@@ -27,18 +26,18 @@
 	pool    *pool.Pool[core.Conn]
 	retries *retry.Budget
 	metrics metrics
-	// sessions knows the commits that this owner ran while its upstream was the primary.
+	// sessions records the commits that this owner ran while its upstream was the primary.
 	sessions *sessionLog
-	// warm is the number of connections kept ready while this entry VM is the assigned owner.
-	warm int
-	// leavingSince is when the upstream was first seen leaving, in Unix nanoseconds, or 0.
+	// minIdle is the number of idle connections kept open while this entry VM is the assigned owner.
+	minIdle int
+	// leavingSince is when the upstream was first seen as leaving, in Unix nanoseconds, or 0.
 	leavingSince atomic.Int64
 
 	mu       sync.Mutex
 	inFlight int
 	open     map[*tx]struct{}
 	draining bool
-	// changed is closed and replaced when inFlight or open shrinks during a drain.
+	// changed is closed and replaced when inFlight or open decreases during a drain.
 	changed chan struct{}
 }
 
@@ -49,18 +48,18 @@
 	_ core.SessionIndexer = (*Owner)(nil)
 )
 
-// New returns the owner of an upstream. It serves requests while Run works.
+// New returns the owner of an upstream. Requests are served while Run is running.
 func New(cfg Config) *Owner {
 	cfg = cfg.withDefaults()
 	info := cfg.Upstream.Info()
-	slots, connections, maxOpen, warm := cfg.limits(info)
+	slots, connections, maxOpen, minIdle := cfg.limits(info)
 	o := &Owner{
 		cfg:      cfg,
 		info:     info,
 		id:       info.ID,
 		sessions: newSessionLog(),
-		warm:     warm,
-		retries:  retry.NewBudget(retry.Config{Ratio: cfg.RetryRatio, Burst: budgetBurst}),
+		minIdle:  minIdle,
+		retries:  retry.NewBudget(retry.Config{Ratio: cfg.RetryRatio, Burst: retryBurst}),
 		metrics:  newMetrics(cfg.Metrics),
 		open:     make(map[*tx]struct{}),
 		changed:  make(chan struct{}),
@@ -68,41 +67,41 @@
 	o.queue = queue.New(cfg.Scheduler(queue.Config{Slots: slots, MaxOpen: maxOpen, Policies: cfg.Policies}))
 	o.pool = pool.New(pool.Config[core.Conn]{
 		Limit:       connections,
-		MinIdle:     warm,
+		MinIdle:     minIdle,
 		Dial:        cfg.Upstream.Dial,
 		Close:       func(c core.Conn) error { return c.Close() },
 		Ping:        func(ctx context.Context, c core.Conn) error { return c.Ping(ctx) },
 		AtLimit:     isRefused,
-		OnDialError: o.dialFailed,
+		OnDialError: o.onDialError,
 	})
 	return o
 }
 
-// SetAssigned tells whether this entry VM is the assigned owner. Without the assignment it serves on
-// demand and keeps no connections ready, since the assigned owner needs the upstream's few.
+// SetAssigned sets whether this entry VM is the assigned owner. Without the assignment it serves on
+// demand and keeps no idle connections, since the assigned owner needs the upstream's few connections.
 func (o *Owner) SetAssigned(assigned bool) {
 	if assigned {
-		o.pool.SetMinIdle(o.warm)
+		o.pool.SetMinIdle(o.minIdle)
 		return
 	}
 	o.pool.SetMinIdle(0)
 }
 
-// Name returns "owner/" and the upstream.
+// Name returns "owner/" followed by the upstream's id.
 func (o *Owner) Name() string { return "owner/" + string(o.id) }
 
-// Run works until ctx ends. It then rolls back open transactions and closes the connections.
+// Run serves until ctx ends. It then rolls back open transactions and closes the connections.
 func (o *Owner) Run(ctx context.Context) error {
 	ends := make(chan error)
 	go func() { ends <- o.pool.Run(ctx) }()
 	go func() { ends <- o.queue.Run(ctx) }()
-	ticker := time.NewTicker(sweepTime)
+	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case now := <-ticker.C:
-			o.closeIdle(now)
+			o.closeIdleTxs(now)
 		}
 	}
 	for _, t := range o.openTxs() {
@@ -113,23 +112,23 @@
 
 // Execute runs the request; see core.Executor.
 func (o *Owner) Execute(ctx context.Context, req *core.Request, w core.ResponseWriter) (core.Result, error) {
-	if !o.enter() {
+	if !o.beginRequest() {
 		return core.Result{}, req.Attempt.Refuse(core.StateUnavailable, "the proxy is stopping", 0)
 	}
-	defer o.leave()
+	defer o.endRequest()
 	o.metrics.requests.Inc(1)
 	o.retries.Deposit()
-	ctx, cancel := o.limit(ctx, req)
+	ctx, cancel := o.withDeadline(ctx, req)
 	defer cancel()
 	path := pathOf(req)
-	a := &answer{w: w, withhold: path != PathRead, movable: true, max: o.cfg.MaxWithheld}
+	a := &answer{w: w, withhold: path != PathRead, redirectable: true, max: o.cfg.MaxWithheldBytes}
 	res, err := o.serve(ctx, path, req, a)
-	o.count(err)
+	o.countFailure(err)
 	return res, err
 }
 
 // Drain refuses new requests and waits until the requests in flight and the open transactions have
-// ended, or until ctx ends.
+// ended. It returns the error of ctx if that ends first.
 func (o *Owner) Drain(ctx context.Context) error {
 	for {
 		o.mu.Lock()
@@ -147,8 +146,8 @@
 	}
 }
 
-// enter counts a request, unless the owner is draining.
-func (o *Owner) enter() bool {
+// beginRequest counts a request in flight. It returns false if the owner is draining.
+func (o *Owner) beginRequest() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.draining {
@@ -158,15 +157,15 @@
 	return true
 }
 
-func (o *Owner) leave() {
+func (o *Owner) endRequest() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.inFlight--
-	o.notify()
+	o.notifyDrain()
 }
 
-// notify wakes Drain. The caller holds mu.
-func (o *Owner) notify() {
+// notifyDrain wakes up Drain. The caller holds mu.
+func (o *Owner) notifyDrain() {
 	if !o.draining {
 		return
 	}
@@ -174,20 +173,20 @@
 	o.changed = make(chan struct{})
 }
 
-// limit bounds the request by its deadline.
-func (o *Owner) limit(ctx context.Context, req *core.Request) (context.Context, context.CancelFunc) {
+// withDeadline limits ctx to the request's deadline.
+func (o *Owner) withDeadline(ctx context.Context, req *core.Request) (context.Context, context.CancelFunc) {
 	if req.Deadline.IsZero() {
-		return context.WithTimeout(ctx, o.cfg.RequestTime)
+		return context.WithTimeout(ctx, o.cfg.RequestTimeout)
 	}
 	if deadline, ok := ctx.Deadline(); ok && !req.Deadline.Before(deadline) {
-		// The listener and the relay have set the deadline already.
+		// The listener or the relay has already set the deadline.
 		return ctx, func() {}
 	}
 	return context.WithDeadline(ctx, req.Deadline)
 }
 
-// count counts the way in which a request failed.
-func (o *Owner) count(err error) {
+// countFailure updates the failure metrics.
+func (o *Owner) countFailure(err error) {
 	var notRun *core.NotRunError
 	var unknown *core.UnknownOutcomeError
 	switch {
@@ -198,8 +197,8 @@
 	}
 }
 
-// dialFailed tells the monitor that the upstream can't be reached.
-func (o *Owner) dialFailed(err error) {
+// onDialError reports an unreachable upstream to the monitor.
+func (o *Owner) onDialError(err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
@@ -209,7 +208,7 @@
 	}
 }
 
-// isRefused reports whether the upstream answered that it is at its connection limit.
+// isRefused reports whether the upstream refused the connection because of its connection limit.
 func isRefused(err error) bool {
 	var refused *core.RefusedError
 	return errors.As(err, &refused)
--- a/core/owner/owner_test.go
+++ b/core/owner/owner_test.go
@@ -39,7 +39,7 @@
 		}()
 		time.Sleep(time.Second)
 		assert.Equal(t, len(c.received()), 0)
-		// A slot isn't held during the wait, since nothing executes.
+		// No slot is held during the wait, since nothing executes.
 		assert.Equal(t, f.State().Queue.Running, 0)
 		close(confirmed)
 		assert.NilError(t, <-ended)
@@ -48,7 +48,7 @@
 	})
 }
 
-// Guards against a write on a lost primary that is reported as done or as not run.
+// Guards against a write on a superseded primary that is reported as done or as not run.
 func TestUnconfirmedWriteHasUnknownOutcome(t *testing.T) {
 	run(t, func(_ *Config, f *fixture) {
 		f.view.confirm = func(context.Context, core.Position) error { return errors.New("term 1 was superseded") }
@@ -61,7 +61,7 @@
 	})
 }
 
-// Guards against work for the primary that runs on another upstream.
+// Guards against requests for the primary that run on another upstream.
 func TestReplicaRedirectsWrites(t *testing.T) {
 	run(t, replica(core.Position{}), func(t *testing.T, f *fixture) {
 		for _, class := range []core.Class{core.ClassWrite, core.ClassBegin} {
@@ -74,8 +74,8 @@
 	})
 }
 
-// Guards against a statement that runs on a replica because the monitor's view was late, and whose
-// failure reaches the caller although nothing was passed on.
+// Guards against a read-only failure that reaches the caller although nothing was forwarded yet: the
+// statement ran on a replica because the monitor's view was out of date.
 func TestReadOnlyFailureRedirects(t *testing.T) {
 	run(t, func(_ *Config, f *fixture) { f.up.readOnly = true }, func(t *testing.T, f *fixture) {
 		c := &caller{}
@@ -90,7 +90,7 @@
 	})
 }
 
-// Guards against stale reads, and against reads that leave a replica which could serve them.
+// Guards against stale reads, and against redirecting reads that the replica could serve.
 func TestReplicaReads(t *testing.T) {
 	applied := core.Position{Term: 1, Offset: 10}
 	tests := []struct {
@@ -162,7 +162,7 @@
 }
 
 // Guards against a primary whose role changed while the request waited for a slot.
-func TestRoleIsCheckedAfterTheQueue(t *testing.T) {
+func TestRoleIsCheckedAfterQueueing(t *testing.T) {
 	run(t, func(_ *Config, f *fixture) { f.up.service = 500 * time.Millisecond }, func(t *testing.T, f *fixture) {
 		ended := make(chan error, 3)
 		for range 3 {
@@ -187,11 +187,11 @@
 	})
 }
 
-// Guards against the answer of a request that timed out reaching the next one.
-func TestLateAnswerReachesNobody(t *testing.T) {
+// Guards against the answer of a request that timed out reaching the next request.
+func TestLateAnswerIsDiscarded(t *testing.T) {
 	run(t, nil, func(t *testing.T, f *fixture) {
 		for i := range 20 {
-			// The pool replaces the connections that were closed.
+			// Leave time for the pool to replace the connections that were closed.
 			time.Sleep(100 * time.Millisecond)
 			f.up.service = time.Duration(i%2) * 50 * time.Millisecond
 			req := f.request(core.ClassRead)
@@ -209,8 +209,8 @@
 	})
 }
 
-// Guards against a read that fails because one connection went silent, and against a write that is
-// sent twice.
+// Guards against a read that fails because its connection stopped answering, and against a write that
+// is sent twice.
 func TestSilentConnection(t *testing.T) {
 	run(t, nil, func(t *testing.T, f *fixture) {
 		var silent atomic.Bool
@@ -235,9 +235,9 @@
 	})
 }
 
-// Guards against a slow read that is cut short because its connection might be silent, and against
-// two answers to one request.
-func TestSlowReadKeepsItsTime(t *testing.T) {
+// Guards against a slow read that is cut short because its connection might be dead, and against two
+// answers to one request.
+func TestSlowReadIsNotCutShort(t *testing.T) {
 	run(t, nil, func(t *testing.T, f *fixture) {
 		for _, slow := range []time.Duration{400 * time.Millisecond, 2500 * time.Millisecond} {
 			f.up.before = func(ctx context.Context, _ *core.Request) error { return sleep(ctx, slow) }
@@ -264,7 +264,7 @@
 			assert.Assert(t, err != nil)
 			time.Sleep(50 * time.Millisecond)
 		}
-		assert.Assert(t, sent <= offered*11/10+budgetBurst, "%d sent", sent)
+		assert.Assert(t, sent <= offered*11/10+retryBurst, "%d sent", sent)
 		assert.Assert(t, sent > offered, "%d sent", sent)
 	})
 }
@@ -292,7 +292,7 @@
 	}
 }
 
-// Guards against a planned stop that interrupts requests or waits for new ones.
+// Guards against a planned stop that interrupts requests or accepts new ones.
 func TestDrainUnderLoad(t *testing.T) {
 	run(t, nil, func(t *testing.T, f *fixture) {
 		res, err := f.Execute(t.Context(), f.request(core.ClassBegin), &caller{})
@@ -323,7 +323,7 @@
 	})
 }
 
-// Guards against an answer that is kept in memory without a limit.
+// Guards against buffering an answer without a limit.
 func TestWithheldAnswerIsBounded(t *testing.T) {
 	a := &answer{w: &caller{}, withhold: true, max: 1000}
 	assert.NilError(t, a.Send(&pgproto3.CommandComplete{CommandTag: []byte("INSERT 0 1")}))
@@ -334,8 +334,8 @@
 	assert.ErrorIs(t, err, errWithheld)
 }
 
-// Guards against new work on a leaving upstream, and against a gap in the service before failover
-// has replaced a leaving primary.
+// Guards against new requests on a leaving upstream, and against an interruption before a failover has
+// replaced a leaving primary.
 func TestLeavingPrimary(t *testing.T) {
 	run(t, nil, func(t *testing.T, f *fixture) {
 		f.leaving.Store(true)
--- a/core/owner/serve.go
+++ b/core/owner/serve.go
@@ -10,20 +10,20 @@
 	"snipewall/core/queue"
 )
 
-// serve runs a request from outside a transaction. Reads are retried within the budget.
+// serve runs a request from outside a transaction. Reads are retried within the retry budget.
 func (o *Owner) serve(ctx context.Context, path Path, req *core.Request, a *answer) (core.Result, error) {
 	for {
 		res, err := o.attempt(ctx, path, req, a)
 		var redirect *core.RedirectError
 		if errors.As(err, &redirect) && req.Attempt.IsSent() {
-			// A redirect says that nothing ran, but an earlier try was sent.
+			// The redirect means that this attempt ran nothing, but an earlier one was sent.
 			return res, req.Attempt.Refuse(core.StateUnavailable, redirect.Error(), 0)
 		}
-		var lost *lostError
+		var lost *lostAnswerError
 		if !errors.As(err, &lost) {
 			return res, err
 		}
-		if !o.mayRetry(ctx, req, a) {
+		if !o.canRetry(ctx, req, a) {
 			return res, req.Attempt.Refuse(core.StateUnavailable, lost.Error(), 0)
 		}
 		o.metrics.retries.Inc(1)
@@ -31,7 +31,7 @@
 	}
 }
 
-// attempt runs a request once, or a read twice if its first connection stays silent.
+// attempt runs a request once, or a read twice if its first connection doesn't answer.
 func (o *Owner) attempt(ctx context.Context, path Path, req *core.Request, a *answer) (core.Result, error) {
 	if path != PathRead {
 		return o.serveOnce(ctx, path, req, a)
@@ -41,23 +41,25 @@
 	return a.hedge.settle(a, res, err)
 }
 
-// mayRetry reports whether a request whose answer was lost may run again here.
-func (o *Owner) mayRetry(ctx context.Context, req *core.Request, a *answer) bool {
-	if req.Class != core.ClassRead || a.passed || a.callerErr != nil || ctx.Err() != nil {
+// canRetry reports whether a request whose answer was lost may run again on this upstream.
+func (o *Owner) canRetry(ctx context.Context, req *core.Request, a *answer) bool {
+	if req.Class != core.ClassRead || a.forwarded || a.callerErr != nil || ctx.Err() != nil {
 		return false
 	}
 	return o.retries.Withdraw()
 }
 
-// lostError says that a request was sent, or may have been, and its answer was lost.
-type lostError struct {
+// lostAnswerError reports that a request was sent, or may have been, and its answer was lost.
+type lostAnswerError struct {
 	err error
 }
 
-func (e *lostError) Error() string { return "connection to the upstream failed: " + e.err.Error() }
-func (e *lostError) Unwrap() error { return e.err }
+func (e *lostAnswerError) Error() string {
+	return "connection to the upstream failed: " + e.err.Error()
+}
+func (e *lostAnswerError) Unwrap() error { return e.err }
 
-// serveOnce takes a request through all steps of its path.
+// serveOnce runs a request through all steps of its path.
 func (o *Owner) serveOnce(ctx context.Context, path Path, req *core.Request, a *answer) (core.Result, error) {
 	t, err := o.check(ctx, path, req)
 	if err != nil {
@@ -70,7 +72,7 @@
 	opens := opensTx(req)
 	h, err := o.connect(ctx, path, req)
 	if err == nil {
-		// The upstream may have changed its role while the request waited.
+		// The upstream's role may have changed while the request waited.
 		err = o.recheck(req, t)
 	}
 	if err != nil {
@@ -93,7 +95,7 @@
 		if !opens {
 			o.queue.BeginTx()
 		}
-		return o.leaveOpen(ctx, req, h, t.primary, res, a)
+		return o.keepOpen(ctx, req, h, t.primary, res, a)
 	}
 	if res.Status == core.TxIdle {
 		h.Put()
@@ -109,16 +111,15 @@
 	return req.Class == core.ClassBegin || req.Class == core.ClassBeginRead
 }
 
-// endTx stops counting a transaction if one was counted.
+// endTx ends the count of an open transaction if there was one.
 func (o *Owner) endTx(counted bool) {
 	if counted {
 		o.queue.EndTx()
 	}
 }
 
-// admit waits for a slot.
 func (o *Owner) admit(ctx context.Context, path Path, req *core.Request) (*queue.Slot, error) {
-	if err := o.step(ctx, path, StepAdmit, req); err != nil {
+	if err := o.runHook(ctx, path, StepAdmit, req); err != nil {
 		return nil, req.Attempt.Refuse(core.StateUnavailable, err.Error(), 0)
 	}
 	slot, err := o.queue.Acquire(ctx, &queue.Item{
@@ -139,15 +140,14 @@
 	return nil, req.Attempt.Refuse(core.StateOverload, "no slot became free: "+err.Error(), 0)
 }
 
-// connect takes a connection from the pool.
 func (o *Owner) connect(ctx context.Context, path Path, req *core.Request) (*pool.Handle[core.Conn], error) {
-	if err := o.step(ctx, path, StepConnect, req); err != nil {
+	if err := o.runHook(ctx, path, StepConnect, req); err != nil {
 		return nil, req.Attempt.Refuse(core.StateUnavailable, err.Error(), 0)
 	}
 	if h, ok := o.pool.TryGet(); ok {
 		return h, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, o.cfg.Connect)
+	ctx, cancel := context.WithTimeout(ctx, o.cfg.ConnectTimeout)
 	defer cancel()
 	h, err := o.pool.Get(ctx)
 	if err == nil {
@@ -159,16 +159,16 @@
 	return nil, req.Attempt.Refuse(core.StateUnavailable, "no connection: "+err.Error(), 0)
 }
 
-// runOn runs the request on the connection. A transport failure is a *lostError; after any error
+// runOn runs the request on the connection. A transport failure is a *lostAnswerError. After any error
 // the connection must be discarded.
 func (o *Owner) runOn(ctx context.Context, path Path, req *core.Request, h *pool.Handle[core.Conn], a *answer) (core.Result, error) {
-	if err := o.step(ctx, path, StepExecute, req); err != nil {
-		return core.Result{}, o.lost(ctx, err, a)
+	if err := o.runHook(ctx, path, StepExecute, req); err != nil {
+		return core.Result{}, o.asLostAnswer(ctx, err, a)
 	}
 	runCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	if hedge := a.hedge; hedge != nil {
-		timer := time.AfterFunc(o.silentTime(ctx, req), func() { hedge.launch(ctx, a, cancel) })
+		timer := time.AfterFunc(o.hedgeDelay(ctx, req), func() { hedge.launch(ctx, a, cancel) })
 		defer timer.Stop()
 		a.onFirst = func() error {
 			timer.Stop()
@@ -176,9 +176,9 @@
 		}
 	}
 	_, term, _ := o.cfg.View.Primary()
-	res, err := o.runCounted(runCtx, path, req, h, a)
+	res, err := o.runTracked(runCtx, path, req, h, a)
 	if err == nil {
-		err = o.step(ctx, path, StepReceive, req)
+		err = o.runHook(ctx, path, StepReceive, req)
 	}
 	var duplicate *core.DuplicateError
 	switch {
@@ -187,11 +187,11 @@
 	case errors.As(err, &duplicate):
 		return res, o.confirmDuplicate(ctx, term, duplicate)
 	}
-	return core.Result{}, o.lost(ctx, err, a)
+	return core.Result{}, o.asLostAnswer(ctx, err, a)
 }
 
-// confirmDuplicate makes sure that the earlier run of a request is confirmed, since the caller takes
-// the duplicate for an acknowledgment. The upstream had the record in the term.
+// confirmDuplicate ensures that the earlier run of the request is confirmed, since the caller takes the
+// duplicate error for an acknowledgment. The upstream found the duplicate in the given term.
 func (o *Owner) confirmDuplicate(ctx context.Context, term core.Term, duplicate *core.DuplicateError) error {
 	index, err := o.cfg.View.ReadIndex(ctx)
 	if err != nil {
@@ -203,8 +203,8 @@
 	return duplicate
 }
 
-// runCounted runs the request and accounts for its commit before anybody hears of it.
-func (o *Owner) runCounted(ctx context.Context, path Path, req *core.Request, h *pool.Handle[core.Conn], a *answer) (core.Result, error) {
+// runTracked runs the request and records its commit in the session log before it is acknowledged.
+func (o *Owner) runTracked(ctx context.Context, path Path, req *core.Request, h *pool.Handle[core.Conn], a *answer) (core.Result, error) {
 	if path == PathRead {
 		return h.Value.Run(ctx, req, a)
 	}
@@ -214,16 +214,16 @@
 	return res, err
 }
 
-// lost marks a transport failure and tells the monitor, unless the caller's side is the cause.
-func (o *Owner) lost(ctx context.Context, err error, a *answer) error {
+// asLostAnswer wraps a transport failure and reports it to the monitor, unless the caller caused it.
+func (o *Owner) asLostAnswer(ctx context.Context, err error, a *answer) error {
 	if a.callerErr == nil && !errors.Is(ctx.Err(), context.Canceled) {
 		o.cfg.View.Suspect(o.id)
 	}
-	return &lostError{err: err}
+	return &lostAnswerError{err: err}
 }
 
-// finish ends a request that left no transaction open: it redirects a write that reached a replica,
-// waits for the confirmation of a commit and passes on the rest of the answer.
+// finish completes a request that left no transaction open: it redirects a write that reached a
+// replica, waits until a commit is confirmed and forwards the rest of the answer.
 func (o *Owner) finish(ctx context.Context, path Path, req *core.Request, res core.Result, a *answer) (core.Result, error) {
 	if a.readOnly {
 		if !a.retried {
@@ -235,7 +235,7 @@
 	if err := o.confirm(ctx, path, req, res.Position); err != nil {
 		return core.Result{}, err
 	}
-	if err := o.step(ctx, path, StepRelease, req); err != nil {
+	if err := o.runHook(ctx, path, StepRelease, req); err != nil {
 		return core.Result{}, &core.UnknownOutcomeError{Reason: err.Error()}
 	}
 	if err := a.flush(); err != nil {
@@ -244,13 +244,13 @@
 	return res, nil
 }
 
-// confirm waits until a majority of the group holds the commit at p, if the request committed one.
+// confirm waits until a majority of the group has the commit at p. It does nothing for a zero p.
 func (o *Owner) confirm(ctx context.Context, path Path, req *core.Request, p core.Position) error {
 	if p.IsZero() {
 		return nil
 	}
 	start := time.Now()
-	err := o.step(ctx, path, StepConfirm, req)
+	err := o.runHook(ctx, path, StepConfirm, req)
 	if err == nil {
 		err = o.cfg.View.Confirm(ctx, p)
 	}
--- a/core/owner/session.go
+++ b/core/owner/session.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// maxSpans limits the runs of own commits that are remembered; commits of others separate them.
+	// maxSpans limits the number of spans; commits of other entry VMs separate them.
 	maxSpans = 64
-	// maxCommits limits the commits whose sessions are remembered.
+	// maxCommits limits the number of commits whose sessions are known.
 	maxCommits = 1 << 16
-	// accountTime limits the wait for the results of own commits that are under way.
-	accountTime = 20 * time.Millisecond
+	// pendingResultWait limits the wait for results of this owner's commits.
+	pendingResultWait = 20 * time.Millisecond
 )
 
-// sessionLog remembers, on the owner of a primary, which session made which commit. Log offsets
-// without a gap prove that no other entry VM committed in between, so that "this session has not
-// written" is certain over a span of own commits and doesn't rest on the membership.
+// sessionLog records, on the owner of a primary, which session made which commit. Log offsets without a
+// gap prove that no other entry VM committed in between. Within a span of this owner's commits it is
+// therefore certain that a session has not written, whatever the membership was.
 type sessionLog struct {
 	mu   sync.Mutex
 	term core.Term
-	// spans are the runs of own commits in ascending order.
+	// spans are the spans of this owner's commits in ascending order.
 	spans []span
-	// floor is the highest offset whose session has been forgotten.
-	floor core.Offset
-	last  map[core.SessionID]core.Offset
-	// order holds the commits in the order in which they are forgotten.
-	order []commit
-	// running counts the requests that may commit.
-	running int
-	// changed is closed and replaced when a result comes in.
+	// evicted is the highest offset whose session is no longer known.
+	evicted core.Offset
+	last    map[core.SessionID]core.Offset
+	// commits holds the recorded commits in the order in which they are evicted.
+	commits []commit
+	// pending counts the running requests that may commit.
+	pending int
+	// changed is closed and replaced when a result arrives.
 	changed chan struct{}
 }
 
-// span is a run of own commits, both ends included.
+// span is a contiguous range of this owner's commits, both ends included.
 type span struct{ first, last core.Offset }
 
 type commit struct {
@@ -48,19 +48,19 @@
 	return &sessionLog{last: make(map[core.SessionID]core.Offset), changed: make(chan struct{})}
 }
 
-// begin counts a request that may commit.
+// begin registers a request that may commit.
 func (l *sessionLog) begin() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.running++
+	l.pending++
 }
 
-// end takes the result of a request that may commit; p is zero if it committed nothing. It is called
-// before the commit is acknowledged.
+// end records the result of a request that may commit; p is zero if it committed nothing. It must be
+// called before the commit is acknowledged.
 func (l *sessionLog) end(session core.SessionID, p core.Position) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.running--
+	l.pending--
 	if !p.IsZero() {
 		l.record(session, p)
 	}
@@ -73,7 +73,7 @@
 		return
 	}
 	if p.Term > l.term {
-		l.term, l.spans, l.order, l.floor = p.Term, nil, nil, 0
+		l.term, l.spans, l.commits, l.evicted = p.Term, nil, nil, 0
 		clear(l.last)
 	}
 	l.spans = addOffset(l.spans, p.Offset)
@@ -81,25 +81,25 @@
 		return
 	}
 	l.last[session] = max(l.last[session], p.Offset)
-	l.order = append(l.order, commit{session: session, offset: p.Offset})
-	if len(l.order) > maxCommits {
-		l.forget()
+	l.commits = append(l.commits, commit{session: session, offset: p.Offset})
+	if len(l.commits) > maxCommits {
+		l.evictOldest()
 	}
 }
 
-// forget drops the oldest half of the remembered commits.
-func (l *sessionLog) forget() {
-	old := l.order[:len(l.order)/2]
+// evictOldest drops the oldest half of the recorded commits.
+func (l *sessionLog) evictOldest() {
+	old := l.commits[:len(l.commits)/2]
 	for _, c := range old {
-		l.floor = max(l.floor, c.offset)
+		l.evicted = max(l.evicted, c.offset)
 		if l.last[c.session] == c.offset {
 			delete(l.last, c.session)
 		}
 	}
-	l.order = append([]commit(nil), l.order[len(old):]...)
+	l.commits = append([]commit(nil), l.commits[len(old):]...)
 }
 
-// addOffset adds an own commit and joins it with the neighboring spans.
+// addOffset adds a commit and joins it with adjacent spans.
 func addOffset(spans []span, o core.Offset) []span {
 	i := len(spans)
 	for i > 0 && spans[i-1].first > o {
@@ -123,9 +123,9 @@
 	return spans
 }
 
-// needed returns the highest position up to the index that may hold a commit of the session, and
-// whether the index lies in a span of own commits.
-func (l *sessionLog) needed(session core.SessionID, index core.Position) (core.Position, bool) {
+// requiredPosition returns the highest position up to the index that may be a commit of the session, and
+// whether the index is within a span of this owner's commits.
+func (l *sessionLog) requiredPosition(session core.SessionID, index core.Position) (core.Position, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if index.Term != l.term {
@@ -139,18 +139,19 @@
 		if index.Offset < s.first {
 			continue
 		}
-		offset := max(s.first-1, l.floor, l.last[session])
+		offset := max(s.first-1, l.evicted, l.last[session])
 		return core.Position{Term: index.Term, Offset: min(offset, index.Offset)}, true
 	}
 	return index, false
 }
 
-// wait waits for the results of the requests under way, which may explain the index.
-func (l *sessionLog) wait(ctx context.Context) bool {
+// waitForResult waits for the next result of a pending request, which may extend a span to the index.
+// It returns false if none is pending or ctx ended.
+func (l *sessionLog) waitForResult(ctx context.Context) bool {
 	l.mu.Lock()
-	running, changed := l.running, l.changed
+	pending, changed := l.pending, l.changed
 	l.mu.Unlock()
-	if running == 0 {
+	if pending == 0 {
 		return false
 	}
 	select {
@@ -161,8 +162,8 @@
 	}
 }
 
-// SessionIndex returns a position that covers every write of the session that was acknowledged
-// before the call, on whichever entry VM; see core.SessionIndexer.
+// SessionIndex returns a position that covers every write of the session that was acknowledged before
+// the call, by any entry VM; see core.SessionIndexer.
 func (o *Owner) SessionIndex(ctx context.Context, session core.SessionID) (core.Position, error) {
 	if primary, _, ok := o.cfg.View.Primary(); !ok || primary != o.id {
 		return core.Position{}, o.redirect("the session index needs the primary")
@@ -171,11 +172,11 @@
 	if err != nil {
 		return core.Position{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, accountTime)
+	ctx, cancel := context.WithTimeout(ctx, pendingResultWait)
 	defer cancel()
 	for {
-		p, known := o.sessions.needed(session, index)
-		if known || !o.sessions.wait(ctx) {
+		p, known := o.sessions.requiredPosition(session, index)
+		if known || !o.sessions.waitForResult(ctx) {
 			return p, nil
 		}
 	}
--- a/core/owner/session_test.go
+++ b/core/owner/session_test.go
@@ -12,8 +12,8 @@
 	"snipewall/core"
 )
 
-// Guards against a session index below a write of the session: commits of this owner come in any
-// order, other entry VMs commit in between, terms change, and old commits are forgotten.
+// Guards against a session index below a write of the session when commits of this owner finish in any
+// order, other entry VMs commit in between, terms change and old commits are evicted.
 func TestSessionLogCoversAllWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newSessionLog()
@@ -54,12 +54,12 @@
 				term++
 				next++
 			case "forget":
-				l.forget()
+				l.evictOldest()
 			}
-			// Only a commit whose result came in can have been acknowledged before the index is asked for.
+			// Only a commit whose result arrived can have been acknowledged before the index was requested.
 			index := core.Position{Term: term, Offset: next - 1}
 			for s, offset := range written {
-				p, _ := l.needed(s, index)
+				p, _ := l.requiredPosition(s, index)
 				if p.Offset < offset || p.Offset > index.Offset {
 					t.Fatalf("session %s wrote %d, index %v, needed %v, spans %v", s, offset, index, p, l.spans)
 				}
@@ -68,8 +68,8 @@
 	})
 }
 
-// Guards against sessions without writes that have to wait for the whole log.
-func TestSessionIndexSparesReaders(t *testing.T) {
+// Guards against sessions without writes that have to wait for the whole log to be applied.
+func TestReadOnlySessionNeedsNoWait(t *testing.T) {
 	run(t, nil, func(t *testing.T, f *fixture) {
 		for range 5 {
 			req := f.request(core.ClassWrite)
@@ -98,7 +98,7 @@
 	})
 }
 
-// Guards against an index that is too high only because results of own commits are under way.
+// Guards against an index that is too high only because results of this owner's commits are pending.
 func TestSessionIndexWaitsForResults(t *testing.T) {
 	run(t, nil, func(t *testing.T, f *fixture) {
 		ends := make(chan error, 1)
--- a/core/owner/state.go
+++ b/core/owner/state.go
@@ -6,19 +6,19 @@
 	"snipewall/core/queue"
 )
 
-// State is the state of an owner.
+// State is a snapshot of an owner for diagnosis.
 type State struct {
 	Upstream core.UpstreamID
-	// InFlight is the number of requests from outside a transaction, Open that of transactions.
+	// InFlight is the number of requests outside of transactions, Open the number of open transactions.
 	InFlight, Open int
 	Draining       bool
 	Queue          queue.State
 	Pool           pool.Stats
-	// RetriesLeft is the number of retries that may follow now.
+	// RetriesLeft is the number of retries that the retry budget allows now.
 	RetriesLeft float64
 }
 
-// Dump returns the owner's state, a State.
+// Dump implements core.Dumper. It returns a State.
 func (o *Owner) Dump() any { return o.State() }
 
 // State returns the owner's state.
--- a/core/owner/step.go
+++ b/core/owner/step.go
@@ -7,23 +7,23 @@
 	"snipewall/core"
 )
 
-// Path is a way that a request takes through the owner.
+// Path is the sequence of steps that a request takes through the owner.
 type Path string
 
-// Paths.
+// Paths of requests.
 const (
 	PathRead  Path = "read"
 	PathWrite Path = "write"
-	// PathTx is the path of the statements of an open transaction, and of the one that opens it.
+	// PathTx is for the statements of an open transaction and for the one that opens it.
 	PathTx Path = "transaction"
 )
 
 // Step is one step of a path.
 type Step string
 
-// Steps in the order in which a path takes them.
+// Steps, in the order in which they occur on a path.
 const (
-	// StepCheck decides whether the upstream may serve the request.
+	// StepCheck decides whether the upstream can serve the request.
 	StepCheck Step = "check"
 	// StepIndex obtains a read index.
 	StepIndex Step = "index"
@@ -31,17 +31,17 @@
 	StepCatchUp Step = "catch-up"
 	// StepAdmit waits for a slot.
 	StepAdmit Step = "admit"
-	// StepConnect takes a connection.
+	// StepConnect takes a connection from the pool.
 	StepConnect Step = "connect"
-	// StepExecute sends the request and passes on the answer.
+	// StepExecute sends the request and forwards the answer.
 	StepExecute Step = "execute"
-	// StepReceive is reached when the whole answer has arrived. A failure means that it was lost.
+	// StepReceive is reached when the whole answer has arrived. A failure here means that it was lost.
 	StepReceive Step = "receive"
-	// StepConfirm waits until a majority holds the commit.
+	// StepConfirm waits until a majority has the commit.
 	StepConfirm Step = "confirm"
-	// StepRelease passes on the part of the answer that was withheld.
+	// StepRelease forwards the withheld part of the answer.
 	StepRelease Step = "release"
-	// StepRollback closes an open transaction.
+	// StepRollback rolls back an open transaction.
 	StepRollback Step = "rollback"
 )
 
@@ -64,7 +64,7 @@
 // Paths returns all paths.
 func Paths() []Path { return []Path{PathRead, PathWrite, PathTx} }
 
-// pathOf returns the path of a request that arrives from outside a transaction.
+// pathOf returns the path of a request from outside a transaction.
 func pathOf(req *core.Request) Path {
 	switch req.Class {
 	case core.ClassRead:
@@ -75,8 +75,8 @@
 	return PathWrite
 }
 
-// step calls the hook before a step.
-func (o *Owner) step(ctx context.Context, p Path, s Step, req *core.Request) error {
+// runHook calls the hook before a step.
+func (o *Owner) runHook(ctx context.Context, p Path, s Step, req *core.Request) error {
 	if err := o.cfg.Hook(ctx, p, s, req); err != nil {
 		return fmt.Errorf("step %s: %w", s, err)
 	}
--- a/core/owner/step_test.go
+++ b/core/owner/step_test.go
@@ -14,8 +14,8 @@
 	"snipewall/core"
 )
 
-// checkOutcome requires that an answer is only acknowledged after its confirmation, and that a
-// refusal that says "not run" is true.
+// checkOutcome requires that an answer is only acknowledged after its confirmation, and that a request
+// reported as "not run" has not run.
 func checkOutcome(t *testing.T, f *fixture, req *core.Request, res core.Result, err error) {
 	t.Helper()
 	f.up.mu.Lock()
@@ -42,8 +42,8 @@
 	}
 }
 
-// Guards against a failure at any step that loses a slot or a connection, acknowledges an
-// unconfirmed commit or reports a request that ran as not run.
+// Guards against a failure at any step that leaks a slot or a connection, acknowledges an unconfirmed
+// commit, or reports a request that ran as not run.
 func TestFailureAtEachStep(t *testing.T) {
 	classes := map[Path][]core.Class{
 		PathRead:  {core.ClassRead},
@@ -106,8 +106,8 @@
 	assert.NilError(t, tx.Close())
 }
 
-// Guards against slots, connections and transactions beyond their limits, leaks, mixed answers and
-// untrue refusals, under any mix of requests, failures and changes of the primary.
+// Guards against exceeded limits of slots, connections and transactions, leaks, mixed-up answers and
+// false "not run" errors, under any mix of requests, failures and changes of the primary.
 func TestLimitsHoldUnderFailures(t *testing.T) {
 	type plan struct {
 		class               core.Class
--- a/core/owner/tx.go
+++ b/core/owner/tx.go
@@ -12,28 +12,28 @@
 	"snipewall/core/pool"
 )
 
-// tx is an open transaction. It owns an upstream connection until it ends; dropping the connection
+// tx is an open transaction. It holds an upstream connection until it ends; closing the connection
 // rolls the transaction back.
 type tx struct {
 	o *Owner
-	// primary tells that the transaction was opened because the upstream is the primary.
+	// primary is set if the transaction was opened because the upstream is the primary.
 	primary bool
 
 	mu sync.Mutex
 	h  *pool.Handle[core.Conn]
-	// cancel stops the statement in progress, if there is one.
+	// cancel cancels the statement in progress; nil without one.
 	cancel context.CancelFunc
-	// closed is set by Close, ended once the connection was given up.
+	// closed is set by Close, ended once the connection was returned or closed.
 	closed, ended bool
-	used          time.Time
+	lastUsed      time.Time
 }
 
 var errTxEnded = errors.New("the transaction has ended and was rolled back")
 
-// leaveOpen passes on the answer of a request that left a transaction open and hands over the
-// connection.
-func (o *Owner) leaveOpen(ctx context.Context, req *core.Request, h *pool.Handle[core.Conn], primary bool, res core.Result, a *answer) (core.Result, error) {
-	t := &tx{o: o, primary: primary, h: h, used: time.Now()}
+// keepOpen forwards the answer of a request that left a transaction open, and moves the connection to
+// the transaction.
+func (o *Owner) keepOpen(ctx context.Context, req *core.Request, h *pool.Handle[core.Conn], primary bool, res core.Result, a *answer) (core.Result, error) {
+	t := &tx{o: o, primary: primary, h: h, lastUsed: time.Now()}
 	o.metrics.transactions.Inc(1)
 	o.mu.Lock()
 	o.open[t] = struct{}{}
@@ -57,28 +57,28 @@
 // Run runs a statement of the transaction; see core.Tx.
 func (t *tx) Run(ctx context.Context, req *core.Request, w core.ResponseWriter) (core.Result, error) {
 	o := t.o
-	ctx, cancel := o.limit(ctx, req)
+	ctx, cancel := o.withDeadline(ctx, req)
 	defer cancel()
-	h := t.begin(cancel)
+	h := t.beginStatement(cancel)
 	if h == nil {
 		return core.Result{}, req.Attempt.Refuse(core.StateUnavailable, errTxEnded.Error(), 0)
 	}
 	o.metrics.requests.Inc(1)
-	a := &answer{w: w, withhold: req.Class != core.ClassRead, max: o.cfg.MaxWithheld}
+	a := &answer{w: w, withhold: req.Class != core.ClassRead, max: o.cfg.MaxWithheldBytes}
 	res, err := t.run(ctx, req, h, a)
 	if err != nil {
 		t.end(false)
-		o.count(err)
+		o.countFailure(err)
 		return core.Result{}, err
 	}
 	res.Upstream = o.id
 	if res.Status == core.TxIdle {
 		t.end(true)
 		res, err = o.finish(ctx, PathTx, req, res, a)
-		o.count(err)
+		o.countFailure(err)
 		return res, err
 	}
-	if err := t.pause(a); err != nil {
+	if err := t.endStatement(a); err != nil {
 		t.end(false)
 		return core.Result{}, req.Attempt.Refuse(core.StateUnavailable, err.Error(), 0)
 	}
@@ -86,9 +86,9 @@
 	return res, nil
 }
 
-// begin marks that a statement is in progress. It returns nil if the transaction has ended or a
-// statement is in progress already.
-func (t *tx) begin(cancel context.CancelFunc) *pool.Handle[core.Conn] {
+// beginStatement marks a statement as in progress. It returns nil if the transaction has ended or
+// another statement is in progress.
+func (t *tx) beginStatement(cancel context.CancelFunc) *pool.Handle[core.Conn] {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.ended || t.closed || t.cancel != nil {
@@ -98,7 +98,7 @@
 	return t.h
 }
 
-// run takes a slot and runs one statement.
+// run waits for a slot and runs one statement.
 func (t *tx) run(ctx context.Context, req *core.Request, h *pool.Handle[core.Conn], a *answer) (core.Result, error) {
 	slot, err := t.o.admit(ctx, PathTx, req)
 	if err != nil {
@@ -110,7 +110,7 @@
 	}
 	res, err := t.o.runOn(ctx, PathTx, req, h, a)
 	slot.Release(err == nil)
-	var lost *lostError
+	var lost *lostAnswerError
 	if errors.As(err, &lost) {
 		return core.Result{}, req.Attempt.Refuse(core.StateUnavailable, lost.Error(), 0)
 	}
@@ -118,8 +118,8 @@
 }
 
 // checkTerm refuses statements once the upstream is no longer known to be the primary, since their
-// answers could be stale. COMMIT and ROLLBACK may go on: a commit is confirmed or its outcome is
-// unknown.
+// answers could be stale. COMMIT and ROLLBACK are allowed: a commit is either confirmed or reported as
+// having an unknown outcome.
 func (t *tx) checkTerm(req *core.Request) error {
 	if !t.primary || req.Class == core.ClassEnd {
 		return nil
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// pause passes on the answer of a statement that left the transaction open.
-func (t *tx) pause(a *answer) error {
+// endStatement forwards the answer of a statement that left the transaction open.
+func (t *tx) endStatement(a *answer) error {
 	if err := a.flush(); err != nil {
 		return err
 	}
@@ -141,12 +141,12 @@
 		return errTxEnded
 	}
 	t.cancel = nil
-	t.used = time.Now()
+	t.lastUsed = time.Now()
 	return nil
 }
 
-// Close rolls the transaction back if it is still open. A statement in progress is canceled and
-// closes the connection when it returns.
+// Close rolls the transaction back if it is still open. A statement in progress is canceled, and its
+// connection is closed when it returns.
 func (t *tx) Close() error {
 	t.mu.Lock()
 	t.closed = true
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// end gives the connection up. clean tells that no transaction is open on it any more.
+// end gives up the connection. clean means that no transaction is open on it, so that it can be reused.
 func (t *tx) end(clean bool) {
 	t.mu.Lock()
 	if t.ended {
@@ -171,7 +171,7 @@
 	h := t.h
 	t.mu.Unlock()
 	if !clean {
-		_ = t.o.step(context.Background(), PathTx, StepRollback, nil)
+		_ = t.o.runHook(context.Background(), PathTx, StepRollback, nil)
 		h.Discard()
 	} else {
 		h.Put()
@@ -181,10 +181,9 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.open, t)
-	o.notify()
+	o.notifyDrain()
 }
 
-// openTxs returns the open transactions.
 func (o *Owner) openTxs() []*tx {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -195,11 +194,11 @@
 	return out
 }
 
-// closeIdle rolls back the transactions that had no statement for too long.
-func (o *Owner) closeIdle(now time.Time) {
+// closeIdleTxs rolls back transactions that had no statement for TxIdleTimeout.
+func (o *Owner) closeIdleTxs(now time.Time) {
 	for _, t := range o.openTxs() {
 		t.mu.Lock()
-		idle := t.cancel == nil && now.Sub(t.used) >= o.cfg.TxIdle
+		idle := t.cancel == nil && now.Sub(t.lastUsed) >= o.cfg.TxIdleTimeout
 		t.mu.Unlock()
 		if idle {
 			level.Info(o.cfg.Log).Log("Msg", "idle transaction rolled back", "Upstream", o.id)
--- a/core/owner/tx_test.go
+++ b/core/owner/tx_test.go
@@ -13,8 +13,8 @@
 	"snipewall/core"
 )
 
-// Guards against a transaction whose statements run on several connections, and against one that
-// occupies a slot between its statements.
+// Guards against a transaction whose statements run on several connections, and against one that holds
+// a slot between its statements.
 func TestTransaction(t *testing.T) {
 	run(t, nil, func(t *testing.T, f *fixture) {
 		res, err := f.Execute(t.Context(), f.request(core.ClassBegin), &caller{})
@@ -39,7 +39,7 @@
 	})
 }
 
-// Guards against a transaction that stays open, keeps its connection or commits after its end.
+// Guards against a transaction that stays open, holds its connection or commits after its end.
 func TestTransactionRollsBack(t *testing.T) {
 	statement := func(f *fixture) *core.Request {
 		req := f.request(core.ClassWrite)
@@ -48,7 +48,7 @@
 	}
 	tests := map[string]func(t *testing.T, f *fixture, tx core.Tx){
 		"closed by the caller": func(t *testing.T, _ *fixture, tx core.Tx) { assert.NilError(t, tx.Close()) },
-		"idle for too long":    func(_ *testing.T, _ *fixture, _ core.Tx) { time.Sleep(defaultTxIdle + time.Second) },
+		"idle for too long":    func(_ *testing.T, _ *fixture, _ core.Tx) { time.Sleep(defaultTxIdleTimeout + time.Second) },
 		"connection lost": func(t *testing.T, f *fixture, tx core.Tx) {
 			f.up.before = func(context.Context, *core.Request) error { return errReset }
 			_, err := tx.Run(t.Context(), statement(f), &caller{})
@@ -90,7 +90,7 @@
 	}
 }
 
-// Guards against a COMMIT that is acknowledged although no majority holds it.
+// Guards against acknowledging a COMMIT that no majority has.
 func TestUnconfirmedCommitHasUnknownOutcome(t *testing.T) {
 	run(t, nil, func(t *testing.T, f *fixture) {
 		res, err := f.Execute(t.Context(), f.request(core.ClassBegin), &caller{})
@@ -125,8 +125,8 @@
 	})
 }
 
-// Guards against stale reads inside a transaction on a primary that has lost its term, and against
-// a COMMIT there that is reported as anything else than unknown.
+// Guards against stale reads inside a transaction on a superseded primary, and against a COMMIT there
+// that is reported as anything but an unknown outcome.
 func TestTransactionOnOldPrimary(t *testing.T) {
 	tests := map[core.Class]any{
 		core.ClassRead: new(*core.NotRunError),
@@ -153,16 +153,16 @@
 	}
 }
 
-// Guards against slots that are blocked by requests without a connection, while the transactions
-// that occupy the connections wait for a slot.
-func TestConnectionsHeldByTransactions(t *testing.T) {
+// Guards against a deadlock between requests that hold slots and wait for connections, and transactions
+// that hold the connections and wait for slots.
+func TestNoDeadlockWhenTransactionsHoldConnections(t *testing.T) {
 	run(t, nil, func(t *testing.T, f *fixture) {
 		var txs []core.Tx
 		for range 3 {
 			res, err := f.Execute(t.Context(), f.request(core.ClassBegin), &caller{})
 			assert.NilError(t, err)
 			txs = append(txs, res.Tx)
-			// Another owner takes the rest of the upstream's connections.
+			// Another owner uses the rest of the upstream's connections.
 			f.up.mu.Lock()
 			f.up.dialErr = &core.RefusedError{Upstream: self, Message: "too many connections"}
 			f.up.mu.Unlock()
