--- a/core/route/choose.go
+++ b/core/route/choose.go
@@ -8,24 +8,24 @@
 	"snipewall/core"
 )
 
-// choose picks the best upstream that has not turned the request down yet.
-func (t *trial) choose() (core.UpstreamInfo, bool) {
-	if info, ok := t.group.info(t.better); ok {
-		t.better = ""
-		if !slices.Contains(t.failed, info.ID) {
+// choose picks the best upstream that has not failed the request yet.
+func (e *execution) choose() (core.UpstreamInfo, bool) {
+	if info, ok := e.group.info(e.redirectTarget); ok {
+		e.redirectTarget = ""
+		if !slices.Contains(e.failed, info.ID) {
 			return info, true
 		}
 	}
-	if t.req.Class != core.ClassRead && t.req.Class != core.ClassBeginRead {
-		return t.choosePrimary()
+	if e.req.Class != core.ClassRead && e.req.Class != core.ClassBeginRead {
+		return e.choosePrimary()
 	}
 	best := core.UpstreamInfo{}
 	bestCost := -1
-	for _, info := range t.group.upstreams {
-		if slices.Contains(t.failed, info.ID) {
+	for _, info := range e.group.upstreams {
+		if slices.Contains(e.failed, info.ID) {
 			continue
 		}
-		if cost := t.readCost(info); bestCost < 0 || cost < bestCost {
+		if cost := e.readCost(info); bestCost < 0 || cost < bestCost {
 			best, bestCost = info, cost
 		}
 	}
@@ -33,25 +33,25 @@
 }
 
 // choosePrimary picks the primary, or any upstream whose owner will redirect to it.
-func (t *trial) choosePrimary() (core.UpstreamInfo, bool) {
-	if view, ok := t.router.view(t.group.id); ok {
+func (e *execution) choosePrimary() (core.UpstreamInfo, bool) {
+	if view, ok := e.router.view(e.group.id); ok {
 		if id, _, ok := view.Primary(); ok {
-			t.group.learnPrimary(id)
+			e.group.learnPrimary(id)
 		}
 	}
-	if info, ok := t.group.info(t.group.knownPrimary()); ok && !slices.Contains(t.failed, info.ID) {
+	if info, ok := e.group.info(e.group.knownPrimary()); ok && !slices.Contains(e.failed, info.ID) {
 		return info, true
 	}
-	for _, info := range t.group.upstreams {
-		if !slices.Contains(t.failed, info.ID) {
+	for _, info := range e.group.upstreams {
+		if !slices.Contains(e.failed, info.ID) {
 			return info, true
 		}
 	}
 	return core.UpstreamInfo{}, false
 }
 
-// Costs of a read on an upstream. The primary is the last choice, since replicas can take reads
-// off it; a leaving upstream comes after it.
+// Costs of a read on an upstream; the lowest sum wins. The primary is a late choice, since replicas can
+// take reads off it. A leaving upstream comes after it.
 const (
 	costSameRegion  = 1
 	costOtherRegion = 2
@@ -60,9 +60,9 @@
 	costLeaving     = 16
 )
 
-// readCost ranks an upstream for a read; lower is better.
-func (t *trial) readCost(info core.UpstreamInfo) int {
-	self := t.router.cfg.Members.Self()
+// readCost returns the cost of a read on the upstream.
+func (e *execution) readCost(info core.UpstreamInfo) int {
+	self := e.router.cfg.Members.Self()
 	cost := 0
 	switch {
 	case info.FailureDomain == self.FailureDomain:
@@ -71,33 +71,33 @@
 	default:
 		cost += costOtherRegion
 	}
-	if info.ID == t.group.knownPrimary() {
+	if info.ID == e.group.knownPrimary() {
 		cost += costPrimary
 	}
-	if t.router.cfg.Members.IsLeaving(info.ID) {
+	if e.router.cfg.Members.IsLeaving(info.ID) {
 		cost += costLeaving
 	}
-	if t.isBehind(info.ID) {
+	if e.isBehind(info.ID) {
 		cost += costBehind
 	}
 	return cost
 }
 
-// isBehind tells whether a monitor in this process knows that the upstream can't serve the read.
-func (t *trial) isBehind(id core.UpstreamID) bool {
-	view, ok := t.router.view(t.group.id)
+// isBehind reports whether a monitor in this process knows that the upstream can't serve the read.
+func (e *execution) isBehind(id core.UpstreamID) bool {
+	view, ok := e.router.view(e.group.id)
 	if !ok {
 		return false
 	}
 	status, _, ok := view.Status(id)
-	if !ok || !status.Applied.Covers(t.req.Position) {
+	if !ok || !status.Applied.Covers(e.req.Position) {
 		return true
 	}
-	if t.req.AcceptedAge == 0 {
+	if e.req.AcceptedAge == 0 {
 		return false
 	}
 	age, ok := view.Age(id)
-	return !ok || age > t.req.AcceptedAge
+	return !ok || age > e.req.AcceptedAge
 }
 
 func (r *Router) view(id core.GroupID) (core.GroupView, bool) {
@@ -107,31 +107,31 @@
 	return r.cfg.View(id)
 }
 
-// attempt runs the request on the upstream, through the first of its owners that can be reached.
-func (t *trial) attempt(ctx context.Context, info core.UpstreamInfo) (core.Result, error) {
-	self := t.router.cfg.Members.Self()
-	for _, vm := range t.router.cfg.Owners(info) {
+// attempt runs the request on the upstream, through the first of its owners that is reachable.
+func (e *execution) attempt(ctx context.Context, info core.UpstreamInfo) (core.Result, error) {
+	self := e.router.cfg.Members.Self()
+	for _, vm := range e.router.cfg.Owners(info) {
 		if vm.ID == self.ID {
-			return t.runLocal(ctx, info)
+			return e.runLocal(ctx, info)
 		}
-		if t.router.isPenalized(vm.ID) {
+		if e.router.isPenalized(vm.ID) {
 			continue
 		}
-		res, err := t.router.cfg.Remote(vm, info.ID).Execute(ctx, t.req, t.out)
-		if err == nil || t.req.Attempt.IsSent() || isTyped(err) {
+		res, err := e.router.cfg.Remote(vm, info.ID).Execute(ctx, e.req, e.out)
+		if err == nil || e.req.Attempt.IsSent() || isOwnerError(err) {
 			return res, err
 		}
-		t.router.penalize(vm.ID)
+		e.router.penalize(vm.ID)
 	}
-	return t.runLocal(ctx, info)
+	return e.runLocal(ctx, info)
 }
 
-func (t *trial) runLocal(ctx context.Context, info core.UpstreamInfo) (core.Result, error) {
-	exec, ok := t.router.cfg.Local(info.ID)
+func (e *execution) runLocal(ctx context.Context, info core.UpstreamInfo) (core.Result, error) {
+	exec, ok := e.router.cfg.Local(info.ID)
 	if !ok {
-		return core.Result{}, t.req.Attempt.Refuse(core.StateUnavailable, "upstream "+string(info.ID)+" can't be served here", 0)
+		return core.Result{}, e.req.Attempt.Refuse(core.StateUnavailable, "upstream "+string(info.ID)+" can't be served here", 0)
 	}
-	return exec.Execute(ctx, t.req, t.out)
+	return exec.Execute(ctx, e.req, e.out)
 }
 
 func (r *Router) isPenalized(id core.VMID) bool {
--- a/core/route/index.go
+++ b/core/route/index.go
@@ -7,45 +7,45 @@
 	"snipewall/core"
 )
 
-// indexTime limits the question for a session's index. Without an answer the read asks for the read
-// index of the whole log, which is as safe but makes replicas wait.
-const indexTime = 250 * time.Millisecond
+// sessionIndexTimeout limits the query for a session's index. Without an answer the read uses the read
+// index of the whole log, which is just as safe but may make a replica wait.
+const sessionIndexTimeout = 250 * time.Millisecond
 
-// resolveIndex replaces the need for a read index by the position that the owner of the primary
-// knows the session to need.
-func (t *trial) resolveIndex(ctx context.Context) {
-	if !t.req.NeedIndex || t.req.AcceptedAge == 0 || t.req.Class != core.ClassRead && t.req.Class != core.ClassBeginRead {
+// resolveIndex replaces the required read index with the position that the session needs, according to
+// the owner of the primary.
+func (e *execution) resolveIndex(ctx context.Context) {
+	if !e.req.NeedIndex || e.req.AcceptedAge == 0 || e.req.Class != core.ClassRead && e.req.Class != core.ClassBeginRead {
 		return
 	}
-	info, ok := t.choosePrimary()
+	info, ok := e.choosePrimary()
 	if !ok {
 		return
 	}
-	indexer, ok := t.indexer(info)
+	indexer, ok := e.indexer(info)
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, indexTime)
+	ctx, cancel := context.WithTimeout(ctx, sessionIndexTimeout)
 	defer cancel()
-	position, err := indexer.SessionIndex(ctx, t.req.Session)
+	position, err := indexer.SessionIndex(ctx, e.req.Session)
 	if err != nil {
 		return
 	}
-	t.req.Position = t.req.Position.Max(position)
-	t.req.NeedIndex = false
+	e.req.Position = e.req.Position.Max(position)
+	e.req.NeedIndex = false
 }
 
-// indexer returns the owner of the primary, here or on another entry VM.
-func (t *trial) indexer(info core.UpstreamInfo) (core.SessionIndexer, bool) {
-	vms := t.router.cfg.Owners(info)
-	if len(vms) == 0 || t.router.isPenalized(vms[0].ID) {
+// indexer returns the owner of the primary, on this or another entry VM.
+func (e *execution) indexer(info core.UpstreamInfo) (core.SessionIndexer, bool) {
+	vms := e.router.cfg.Owners(info)
+	if len(vms) == 0 || e.router.isPenalized(vms[0].ID) {
 		return nil, false
 	}
 	var exec core.Executor
-	if vms[0].ID == t.router.cfg.Members.Self().ID {
-		exec, _ = t.router.cfg.Local(info.ID)
+	if vms[0].ID == e.router.cfg.Members.Self().ID {
+		exec, _ = e.router.cfg.Local(info.ID)
 	} else {
-		exec = t.router.cfg.Remote(vms[0], info.ID)
+		exec = e.router.cfg.Remote(vms[0], info.ID)
 	}
 	indexer, ok := exec.(core.SessionIndexer)
 	return indexer, ok
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// maxRedirects limits the redirects that are followed without a pause in between.
+	// maxRedirects limits the redirects that are followed without a backoff.
 	maxRedirects = 3
-	// firstBackoff and maxBackoff bound the pause before a request that did not run is tried again,
-	// for example while a group has no primary.
+	// firstBackoff and maxBackoff limit the backoff before a request that did not run is tried again, for
+	// example while a group has no primary.
 	firstBackoff = 20 * time.Millisecond
 	maxBackoff   = 200 * time.Millisecond
-	// answerReserve is the part of the deadline that is kept to answer the caller.
+	// answerReserve is the part of the deadline that is reserved for answering the caller.
 	answerReserve = 50 * time.Millisecond
-	// defaultRetryRatio is the share of the requests that may be sent a second time, and
-	// defaultRetryBurst how many repetitions can be saved up.
+	// defaultRetryRatio is the share of requests that may be sent again, and defaultRetryBurst the number
+	// of such retries that can accumulate.
 	defaultRetryRatio = 0.1
 	defaultRetryBurst = 50
-	// peerPenalty is how long an entry VM that could not be reached is passed over.
+	// peerPenalty is how long an unreachable entry VM is skipped.
 	peerPenalty = 500 * time.Millisecond
 )
 
@@ -35,16 +35,16 @@
 type Config struct {
 	Upstreams []core.UpstreamInfo
 	Members   core.Members
-	// Owners returns entry VMs in the order in which they own the upstream. It is on the path of each
-	// request, so it has to answer from a cache.
+	// Owners returns entry VMs in the order in which they own the upstream. It is called for each request,
+	// so it has to answer from a cache.
 	Owners func(info core.UpstreamInfo) []core.VM
-	// Local returns the executor of an upstream in this process and starts it if needed.
+	// Local returns the executor of an upstream in this process, and starts it if necessary.
 	Local func(id core.UpstreamID) (core.Executor, bool)
 	// Remote returns the executor of an upstream on another entry VM.
 	Remote func(vm core.VM, id core.UpstreamID) core.Executor
-	// View returns the monitor of a group if one runs in this process.
+	// View returns the monitor of a group, or false if none runs in this process.
 	View func(id core.GroupID) (core.GroupView, bool)
-	// Budget limits repetitions of requests that were sent; nil means 10% of the traffic.
+	// Budget limits the retries of requests that were sent; nil means 10% of the traffic.
 	Budget *retry.Budget
 }
 
@@ -56,15 +56,15 @@
 	counts counters
 
 	mu sync.Mutex
-	// penalties holds the time until which an entry VM is passed over.
+	// penalties holds the time until which an entry VM is skipped.
 	penalties map[core.VMID]time.Time
 }
 
-// group is what the router knows about a group.
+// group is the router's state of a group.
 type group struct {
 	id        core.GroupID
 	upstreams []core.UpstreamInfo
-	// primary is the last primary heard of, a core.UpstreamID.
+	// primary is the last known primary, a core.UpstreamID.
 	primary atomic.Value
 }
 
@@ -88,7 +88,7 @@
 	return core.UpstreamInfo{}, false
 }
 
-// New returns a router for the groups of the upstreams.
+// New returns a router for the groups of cfg.Upstreams.
 func New(cfg Config) *Router {
 	if cfg.Budget == nil {
 		cfg.Budget = retry.NewBudget(retry.Config{Ratio: defaultRetryRatio, Burst: defaultRetryBurst})
@@ -119,43 +119,43 @@
 	}
 	req.ID = r.nextID.Add(1)
 	r.cfg.Budget.Deposit()
-	t := &trial{router: r, group: g, req: req, out: &passedWriter{w: w}}
-	res, err := t.run(ctx)
+	e := &execution{router: r, group: g, req: req, out: &trackingWriter{w: w}}
+	res, err := e.run(ctx)
 	r.counts.add(g, req, res, err)
 	return res, err
 }
 
-// trial is the work for one request over all its attempts.
-type trial struct {
+// execution is the state of one request over all its attempts.
+type execution struct {
 	router *Router
 	group  *group
 	req    *core.Request
-	out    *passedWriter
-	// better is the upstream that the last redirect named, or empty.
-	better core.UpstreamID
-	// failed holds the upstreams that turned the request down since the last pause.
+	out    *trackingWriter
+	// redirectTarget is the upstream that the last redirect named, or empty.
+	redirectTarget core.UpstreamID
+	// failed holds the upstreams that have failed the request since the last backoff.
 	failed    []core.UpstreamID
 	redirects int
 	backoff   time.Duration
 }
 
-// run tries upstreams until the request has run, must not be repeated, or its time is over.
-func (t *trial) run(ctx context.Context) (core.Result, error) {
-	t.resolveIndex(ctx)
+// run tries upstreams until the request has run, must not be repeated, or its deadline is near.
+func (e *execution) run(ctx context.Context) (core.Result, error) {
+	e.resolveIndex(ctx)
 	lastReason := "no upstream could be reached"
 	for {
-		info, ok := t.choose()
+		info, ok := e.choose()
 		if !ok {
-			if err := t.pause(ctx, lastReason); err != nil {
+			if err := e.waitBackoff(ctx, lastReason); err != nil {
 				return core.Result{}, err
 			}
 			continue
 		}
-		res, err := t.attempt(ctx, info)
+		res, err := e.attempt(ctx, info)
 		if err == nil {
 			return res, nil
 		}
-		again, reason, err := t.judge(ctx, info, err)
+		again, reason, err := e.handleError(ctx, info, err)
 		if !again {
 			return core.Result{}, err
 		}
@@ -163,76 +163,76 @@
 	}
 }
 
-// judge decides whether the request may be tried again after err.
-func (t *trial) judge(ctx context.Context, info core.UpstreamInfo, err error) (again bool, reason string, final error) {
+// handleError decides whether the request may be tried again after err.
+func (e *execution) handleError(ctx context.Context, info core.UpstreamInfo, err error) (again bool, reason string, final error) {
 	var redirect *core.RedirectError
 	var notRun *core.NotRunError
 	var unknown *core.UnknownOutcomeError
 	var duplicate *core.DuplicateError
 	switch {
 	case errors.As(err, &redirect):
-		t.follow(info, redirect)
+		e.followRedirect(info, redirect)
 		return true, redirect.Reason, nil
 	case errors.As(err, &notRun):
-		if notRun.State == core.StateOverload && !t.mayTryReplica(info) {
+		if notRun.State == core.StateOverload && !e.canTryAnotherReplica(info) {
 			return false, "", err
 		}
-		t.failed = append(t.failed, info.ID)
+		e.failed = append(e.failed, info.ID)
 		return true, notRun.Reason, nil
 	case errors.As(err, &duplicate):
 		return false, "", err
 	case ctx.Err() != nil:
-		return false, "", t.req.Attempt.Refuse(core.StateUnavailable, "the request's time is over", 0)
-	case t.req.Attempt.IsSent() && !t.mayRepeat():
+		return false, "", e.req.Attempt.Refuse(core.StateUnavailable, "the request's time is over", 0)
+	case e.req.Attempt.IsSent() && !e.canRepeat():
 		if !errors.As(err, &unknown) {
 			err = &core.UnknownOutcomeError{Reason: err.Error()}
 		}
 		return false, "", err
 	}
-	t.req.Attempt.ConfirmNotRun()
-	t.failed = append(t.failed, info.ID)
+	e.req.Attempt.ConfirmNotRun()
+	e.failed = append(e.failed, info.ID)
 	return true, err.Error(), nil
 }
 
-// mayRepeat tells whether a request that may have run can be sent again: it changes nothing or is
-// idempotent, no part of an answer was passed on, and the retry budget allows it. The start of a
-// transaction changes nothing, since an upstream rolls back when its connection drops.
-func (t *trial) mayRepeat() bool {
-	if t.out.passed || t.req.InTx {
+// canRepeat reports whether a request that may have run can be sent again: it changes nothing or is
+// idempotent, no part of an answer was forwarded, and the retry budget allows it. The start of a
+// transaction changes nothing, since an upstream rolls back when the connection drops.
+func (e *execution) canRepeat() bool {
+	if e.out.forwarded || e.req.InTx {
 		return false
 	}
-	switch t.req.Class {
+	switch e.req.Class {
 	case core.ClassRead, core.ClassBegin, core.ClassBeginRead:
-		return t.router.cfg.Budget.Withdraw()
+		return e.router.cfg.Budget.Withdraw()
 	case core.ClassWrite:
-		return t.req.Idempotent && t.router.cfg.Budget.Withdraw()
+		return e.req.Idempotent && e.router.cfg.Budget.Withdraw()
 	default:
 		return false
 	}
 }
 
-// mayTryReplica tells whether a read that one upstream refused for load may ask another one. It
-// does so once, and within the retry budget, so that a surge isn't multiplied.
-func (t *trial) mayTryReplica(info core.UpstreamInfo) bool {
-	if t.req.Class != core.ClassRead || len(t.failed) > 0 || info.ID == t.group.knownPrimary() {
+// canTryAnotherReplica reports whether a read that one upstream refused for load may go to another one.
+// It may do so once, and within the retry budget, so that it doesn't multiply an overload.
+func (e *execution) canTryAnotherReplica(info core.UpstreamInfo) bool {
+	if e.req.Class != core.ClassRead || len(e.failed) > 0 || info.ID == e.group.knownPrimary() {
 		return false
 	}
-	return t.router.cfg.Budget.Withdraw()
+	return e.router.cfg.Budget.Withdraw()
 }
 
-// follow takes note of a redirect.
-func (t *trial) follow(info core.UpstreamInfo, redirect *core.RedirectError) {
-	t.redirects++
-	t.failed = append(t.failed, info.ID)
-	t.group.learnPrimary(redirect.Primary)
-	if redirect.Better == info.ID || t.redirects > maxRedirects {
+// followRedirect records a redirect and its target.
+func (e *execution) followRedirect(info core.UpstreamInfo, redirect *core.RedirectError) {
+	e.redirects++
+	e.failed = append(e.failed, info.ID)
+	e.group.learnPrimary(redirect.Primary)
+	if redirect.Better == info.ID || e.redirects > maxRedirects {
 		return
 	}
-	t.better = redirect.Better
-	t.failed = without(t.failed, redirect.Better)
+	e.redirectTarget = redirect.Better
+	e.failed = remove(e.failed, redirect.Better)
 }
 
-func without(ids []core.UpstreamID, id core.UpstreamID) []core.UpstreamID {
+func remove(ids []core.UpstreamID, id core.UpstreamID) []core.UpstreamID {
 	kept := ids[:0]
 	for _, other := range ids {
 		if other != id {
@@ -242,34 +242,34 @@
 	return kept
 }
 
-// pause waits before the next round over the upstreams, or ends the request when its time is over.
-func (t *trial) pause(ctx context.Context, reason string) error {
-	t.backoff = min(max(firstBackoff, 2*t.backoff), maxBackoff)
-	wait := t.backoff/2 + rand.N(t.backoff/2)
-	if time.Until(t.req.Deadline) < wait+answerReserve {
-		return t.req.Attempt.Refuse(core.StateUnavailable, reason, maxBackoff)
+// waitBackoff waits before all upstreams are tried again. It returns an error if the deadline is too near.
+func (e *execution) waitBackoff(ctx context.Context, reason string) error {
+	e.backoff = min(max(firstBackoff, 2*e.backoff), maxBackoff)
+	wait := e.backoff/2 + rand.N(e.backoff/2)
+	if time.Until(e.req.Deadline) < wait+answerReserve {
+		return e.req.Attempt.Refuse(core.StateUnavailable, reason, maxBackoff)
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-		return t.req.Attempt.Refuse(core.StateUnavailable, reason, 0)
+		return e.req.Attempt.Refuse(core.StateUnavailable, reason, 0)
 	case <-timer.C:
 	}
-	t.failed = t.failed[:0]
-	t.redirects = 0
-	t.better = ""
+	e.failed = e.failed[:0]
+	e.redirects = 0
+	e.redirectTarget = ""
 	return nil
 }
 
-// passedWriter remembers whether any message was passed on.
-type passedWriter struct {
-	w      core.ResponseWriter
-	passed bool
+// trackingWriter records whether any message was forwarded.
+type trackingWriter struct {
+	w         core.ResponseWriter
+	forwarded bool
 }
 
 // Send implements core.ResponseWriter.
-func (p *passedWriter) Send(msg pgproto3.BackendMessage) error {
-	p.passed = true
+func (p *trackingWriter) Send(msg pgproto3.BackendMessage) error {
+	p.forwarded = true
 	return p.w.Send(msg)
 }
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -13,7 +13,7 @@
 	"snipewall/core"
 )
 
-// script is an executor that answers each request with the next step.
+// script is an executor that runs the next step for each request and repeats the last one.
 type script struct {
 	steps []func(req *core.Request, w core.ResponseWriter) (core.Result, error)
 	calls int
@@ -59,20 +59,20 @@
 	return core.Result{}, errors.New("connection reset")
 }
 
-type discard struct{}
+type discardWriter struct{}
 
-func (discard) Send(pgproto3.BackendMessage) error { return nil }
+func (discardWriter) Send(pgproto3.BackendMessage) error { return nil }
 
-type members struct{ alive []core.VM }
+type fakeMembers struct{ alive []core.VM }
 
-func (m *members) Self() core.VM                     { return m.alive[0] }
-func (m *members) Alive() []core.VM                  { return m.alive }
-func (m *members) Generation() uint64                { return 1 }
-func (m *members) IsLeaving(core.UpstreamID) bool    { return false }
-func (m *members) MarkLeaving(core.UpstreamID, bool) {}
-func ownersNone(core.UpstreamInfo) []core.VM         { return nil }
+func (m *fakeMembers) Self() core.VM                     { return m.alive[0] }
+func (m *fakeMembers) Alive() []core.VM                  { return m.alive }
+func (m *fakeMembers) Generation() uint64                { return 1 }
+func (m *fakeMembers) IsLeaving(core.UpstreamID) bool    { return false }
+func (m *fakeMembers) MarkLeaving(core.UpstreamID, bool) {}
+func noOwners(core.UpstreamInfo) []core.VM               { return nil }
 
-// newRouter returns a router in domain a whose upstreams a, b, c all run in this process.
+// newRouter returns a router in failure domain a whose upstreams a, b and c run in this process.
 func newRouter(scripts map[core.UpstreamID]*script) *Router {
 	var infos []core.UpstreamInfo
 	for _, id := range []core.UpstreamID{"a", "b", "c"} {
@@ -80,8 +80,8 @@
 	}
 	return New(Config{
 		Upstreams: infos,
-		Members:   &members{alive: []core.VM{{ID: "vm", FailureDomain: "a", Region: "r"}}},
-		Owners:    ownersNone,
+		Members:   &fakeMembers{alive: []core.VM{{ID: "vm", FailureDomain: "a", Region: "r"}}},
+		Owners:    noOwners,
 		Local:     func(id core.UpstreamID) (core.Executor, bool) { return scripts[id], true },
 	})
 }
@@ -125,7 +125,7 @@
 				}
 				ctx, cancel := context.WithDeadline(context.Background(), req.Deadline)
 				defer cancel()
-				res, err := newRouter(scripts).Execute(ctx, req, discard{})
+				res, err := newRouter(scripts).Execute(ctx, req, discardWriter{})
 				if tt.wantErr != nil {
 					assert.Assert(t, errors.As(err, tt.wantErr), "got %v", err)
 				} else {
@@ -139,15 +139,15 @@
 	}
 }
 
-// Guards against repetitions that multiply a surge: they stay within a share of the requests.
-func TestBudgetBoundsRepetitions(t *testing.T) {
+// Guards against retries that multiply an overload: they must stay within a share of the requests.
+func TestRetryBudgetLimitsRepeats(t *testing.T) {
 	scripts := newScripts([]step{lose}, []step{lose}, []step{lose})
 	r := newRouter(scripts)
 	const requests = 1000
 	synctest.Test(t, func(t *testing.T) {
 		for range requests {
 			req := &core.Request{Group: "g", Class: core.ClassRead, Attempt: &core.Attempt{}, Deadline: time.Now().Add(time.Second)}
-			_, err := r.Execute(context.Background(), req, discard{})
+			_, err := r.Execute(context.Background(), req, discardWriter{})
 			assert.Assert(t, err != nil)
 		}
 	})
--- a/core/route/state.go
+++ b/core/route/state.go
@@ -8,8 +8,8 @@
 	"snipewall/core"
 )
 
-// isTyped tells whether the error is an answer of an owner rather than a failure to reach it.
-func isTyped(err error) bool {
+// isOwnerError reports whether the error was returned by an owner, rather than a failure to reach it.
+func isOwnerError(err error) bool {
 	var notRun *core.NotRunError
 	var redirect *core.RedirectError
 	var unknown *core.UnknownOutcomeError
@@ -17,7 +17,7 @@
 	return errors.As(err, &notRun) || errors.As(err, &redirect) || errors.As(err, &unknown) || errors.As(err, &duplicate)
 }
 
-// counters count the ends of requests.
+// counters count the outcomes of requests.
 type counters struct {
 	replicaReads [core.RankCount]atomic.Uint64
 	primaryReads [core.RankCount]atomic.Uint64
@@ -49,7 +49,7 @@
 	}
 }
 
-// primaryOf returns the upstream that proved to be the primary by serving the request.
+// primaryOf returns the upstream that proved to be the primary by serving the request, or "".
 func primaryOf(req *core.Request, res core.Result) core.UpstreamID {
 	if req.Class == core.ClassWrite || req.Class == core.ClassBegin {
 		return res.Upstream
@@ -57,7 +57,7 @@
 	return ""
 }
 
-// State is the router's part of a state dump.
+// State is a snapshot of the router for diagnosis.
 type State struct {
 	// Primaries holds the last known primary of each group.
 	Primaries map[core.GroupID]core.UpstreamID
@@ -73,13 +73,13 @@
 // Name implements core.Service.
 func (r *Router) Name() string { return "route" }
 
-// Run implements core.Service; the router works in its callers' goroutines.
+// Run implements core.Service. The router works in the goroutines of its callers.
 func (r *Router) Run(ctx context.Context) error {
 	<-ctx.Done()
 	return nil
 }
 
-// Primaries returns the primary of each group as far as this entry VM knows.
+// Primaries returns the last known primary of each group.
 func (r *Router) Primaries() map[core.GroupID]core.UpstreamID {
 	primaries := make(map[core.GroupID]core.UpstreamID, len(r.groups))
 	for id, g := range r.groups {
