--- a/core/assign/assign.go
+++ b/core/assign/assign.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// DefaultLinger is how long work that nobody asks for goes on.
-	DefaultLinger = 30 * time.Second
-	// checkInterval is how often the assignment is compared with the membership.
-	checkInterval = 200 * time.Millisecond
-	// settleTime is how long a starting entry VM waits to hear of others. Before that it would take
-	// itself for the only one and open connections to all upstreams.
-	settleTime = 2 * time.Second
-	// drainTimeout limits how long an owner that lost its upstream finishes its requests.
+	// DefaultIdleTimeout is the default of Config.IdleTimeout.
+	DefaultIdleTimeout = 30 * time.Second
+	// reconcileInterval is how often the running owners are compared with the membership.
+	reconcileInterval = 200 * time.Millisecond
+	// joinWait is how long a starting entry VM waits until it sees other entry VMs. Without the wait it
+	// would consider itself the only one and open connections to all upstreams.
+	joinWait = 2 * time.Second
+	// drainTimeout limits how long an owner that is no longer needed may finish its requests.
 	drainTimeout = 10 * time.Second
 )
 
@@ -29,16 +29,16 @@
 type Owner interface {
 	core.Service
 	core.Executor
-	// Drain refuses new requests and waits for the ones in flight.
+	// Drain refuses new requests and waits for those in flight.
 	Drain(ctx context.Context) error
-	// SetAssigned tells whether this entry VM is the assigned owner or serves on demand.
+	// SetAssigned sets whether this entry VM is the assigned owner or serves on demand.
 	SetAssigned(assigned bool)
 }
 
-// Group is the monitor and the failover driver of one group.
+// Group consists of the monitor and the failover driver of one group.
 type Group struct {
 	View core.GroupView
-	// Services are run as long as the group is needed.
+	// Services run as long as the group is in use.
 	Services []core.Service
 }
 
@@ -46,19 +46,20 @@
 type Config struct {
 	Upstreams []core.UpstreamInfo
 	Members   core.Members
-	// Owners returns entry VMs in the order in which they own the upstream. It is asked for all
-	// upstreams several times a second, so it has to answer from a cache.
+	// Owners returns entry VMs in the order in which they own the upstream. It is called for all upstreams
+	// several times a second, so it has to answer from a cache.
 	Owners func(info core.UpstreamInfo) []core.VM
-	// NewGroup builds the monitor and the driver of a group.
+	// NewGroup creates the monitor and the failover driver of a group.
 	NewGroup func(id core.GroupID, upstreams []core.UpstreamInfo) Group
-	// NewOwner builds the owner of an upstream.
+	// NewOwner creates the owner of an upstream.
 	NewOwner func(info core.UpstreamInfo, view core.GroupView) Owner
-	// Linger is how long work that nobody asks for goes on; 0 means DefaultLinger.
-	Linger time.Duration
-	Log    log.Logger
+	// IdleTimeout is how long an owner that is neither assigned nor used continues to run; 0 means
+	// DefaultIdleTimeout.
+	IdleTimeout time.Duration
+	Log         log.Logger
 }
 
-// Manager holds the running owners and groups.
+// Manager starts and stops owners and groups. It is safe for concurrent use.
 type Manager struct {
 	cfg       Config
 	upstreams map[core.UpstreamID]core.UpstreamInfo
@@ -66,29 +67,27 @@
 	mu       sync.Mutex
 	ctx      context.Context
 	draining bool
-	owners   map[core.UpstreamID]*ownerCell
-	groups   map[core.GroupID]*groupCell
+	owners   map[core.UpstreamID]*runningOwner
+	groups   map[core.GroupID]*runningGroup
 }
 
-// ownerCell is a running owner.
-type ownerCell struct {
+type runningOwner struct {
 	owner Owner
 	task  *task
-	// assigned tells that rendezvous hashing names this entry VM.
+	// assigned is set if rendezvous hashing assigns the upstream to this entry VM.
 	assigned bool
 	lastUsed time.Time
 }
 
-// groupCell is a running group.
-type groupCell struct {
+type runningGroup struct {
 	group Group
 	tasks []*task
 }
 
-// New returns a manager that works during Run.
+// New returns a manager. It starts owners only while Run is running.
 func New(cfg Config) *Manager {
-	if cfg.Linger == 0 {
-		cfg.Linger = DefaultLinger
+	if cfg.IdleTimeout == 0 {
+		cfg.IdleTimeout = DefaultIdleTimeout
 	}
 	if cfg.Log == nil {
 		cfg.Log = log.NewNopLogger()
@@ -96,8 +95,8 @@
 	m := &Manager{
 		cfg:       cfg,
 		upstreams: make(map[core.UpstreamID]core.UpstreamInfo, len(cfg.Upstreams)),
-		owners:    make(map[core.UpstreamID]*ownerCell),
-		groups:    make(map[core.GroupID]*groupCell),
+		owners:    make(map[core.UpstreamID]*runningOwner),
+		groups:    make(map[core.GroupID]*runningGroup),
 	}
 	for _, info := range cfg.Upstreams {
 		m.upstreams[info.ID] = info
@@ -108,15 +107,15 @@
 // Name implements core.Service.
 func (m *Manager) Name() string { return "assign" }
 
-// Run follows the membership until ctx ends, then stops all work.
+// Run follows the membership until ctx ends, then stops all owners and groups.
 func (m *Manager) Run(ctx context.Context) error {
 	m.mu.Lock()
 	m.ctx = ctx
 	m.mu.Unlock()
-	ticker := time.NewTicker(checkInterval)
+	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
 	began := time.Now()
-	for len(m.cfg.Members.Alive()) < 2 && time.Since(began) < settleTime {
+	for len(m.cfg.Members.Alive()) < 2 && time.Since(began) < joinWait {
 		select {
 		case <-ctx.Done():
 			return m.stopAll()
@@ -124,7 +123,7 @@
 		}
 	}
 	for {
-		if err := m.adjust(); err != nil {
+		if err := m.reconcile(); err != nil {
 			return err
 		}
 		select {
@@ -135,38 +134,38 @@
 	}
 }
 
-// adjust starts what this entry VM owns and stops what nobody needs.
-func (m *Manager) adjust() error {
+// reconcile starts the owners that are assigned to this entry VM and stops the idle ones.
+func (m *Manager) reconcile() error {
 	self := m.cfg.Members.Self().ID
-	var stopped []*ownerCell
+	var stopped []*runningOwner
 	m.mu.Lock()
 	for id, info := range m.upstreams {
 		first := m.cfg.Owners(info)
 		assigned := len(first) > 0 && first[0].ID == self && !m.draining
-		cell := m.owners[id]
-		if cell == nil && assigned {
-			cell = m.start(info, true)
+		ro := m.owners[id]
+		if ro == nil && assigned {
+			ro = m.start(info, true)
 		}
-		if cell == nil {
+		if ro == nil {
 			continue
 		}
-		if cell.assigned != assigned {
-			cell.assigned = assigned
-			cell.owner.SetAssigned(assigned)
+		if ro.assigned != assigned {
+			ro.assigned = assigned
+			ro.owner.SetAssigned(assigned)
 		}
 		if assigned {
-			cell.lastUsed = time.Now()
+			ro.lastUsed = time.Now()
 		}
-		if time.Since(cell.lastUsed) > m.cfg.Linger {
-			stopped = append(stopped, cell)
+		if time.Since(ro.lastUsed) > m.cfg.IdleTimeout {
+			stopped = append(stopped, ro)
 			delete(m.owners, id)
 		}
 	}
-	idle := m.takeIdleGroups()
+	idle := m.removeIdleGroups()
 	m.mu.Unlock()
 	var errs []error
-	for _, cell := range stopped {
-		errs = append(errs, m.stop(cell))
+	for _, ro := range stopped {
+		errs = append(errs, m.stop(ro))
 	}
 	for _, g := range idle {
 		errs = append(errs, g.stop())
@@ -174,9 +173,9 @@
 	return errors.Join(errs...)
 }
 
-// takeIdleGroups removes the groups that have no owner here. The caller holds mu.
-func (m *Manager) takeIdleGroups() []*groupCell {
-	var idle []*groupCell
+// removeIdleGroups removes and returns the groups without an owner in this process. The caller holds mu.
+func (m *Manager) removeIdleGroups() []*runningGroup {
+	var idle []*runningGroup
 	for id, g := range m.groups {
 		used := slices.ContainsFunc(m.cfg.Upstreams, func(info core.UpstreamInfo) bool {
 			return info.Group == id && m.owners[info.ID] != nil
@@ -189,8 +188,8 @@
 	return idle
 }
 
-// start starts the owner of the upstream and its group. The caller holds mu.
-func (m *Manager) start(info core.UpstreamInfo, assigned bool) *ownerCell {
+// start starts the owner of the upstream, and its group if necessary. The caller holds mu.
+func (m *Manager) start(info core.UpstreamInfo, assigned bool) *runningOwner {
 	g, ok := m.groups[info.Group]
 	if !ok {
 		g = m.startGroup(info.Group)
@@ -198,27 +197,27 @@
 	}
 	o := m.cfg.NewOwner(info, g.group.View)
 	o.SetAssigned(assigned)
-	cell := &ownerCell{owner: o, task: startTask(m.ctx, o), assigned: assigned, lastUsed: time.Now()}
-	m.owners[info.ID] = cell
-	level.Info(m.cfg.Log).Log("Msg", "upstream is served here", "Upstream", info.ID, "Assigned", assigned)
-	return cell
+	ro := &runningOwner{owner: o, task: startTask(m.ctx, o), assigned: assigned, lastUsed: time.Now()}
+	m.owners[info.ID] = ro
+	level.Info(m.cfg.Log).Log("Msg", "owner started", "Upstream", info.ID, "Assigned", assigned)
+	return ro
 }
 
-func (m *Manager) startGroup(id core.GroupID) *groupCell {
+func (m *Manager) startGroup(id core.GroupID) *runningGroup {
 	var members []core.UpstreamInfo
 	for _, info := range m.cfg.Upstreams {
 		if info.Group == id {
 			members = append(members, info)
 		}
 	}
-	g := &groupCell{group: m.cfg.NewGroup(id, members)}
+	g := &runningGroup{group: m.cfg.NewGroup(id, members)}
 	for _, s := range g.group.Services {
 		g.tasks = append(g.tasks, startTask(m.ctx, s))
 	}
 	return g
 }
 
-func (g *groupCell) stop() error {
+func (g *runningGroup) stop() error {
 	var errs []error
 	for _, t := range g.tasks {
 		errs = append(errs, t.stop())
@@ -226,26 +225,26 @@
 	return errors.Join(errs...)
 }
 
-// stop drains and ends an owner.
-func (m *Manager) stop(cell *ownerCell) error {
+// stop drains and stops an owner.
+func (m *Manager) stop(ro *runningOwner) error {
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
-	if err := cell.owner.Drain(ctx); err != nil {
-		level.Warn(m.cfg.Log).Log("Msg", "requests were still in flight when the owner stopped", "Owner", cell.owner.Name(), "Err", err)
+	if err := ro.owner.Drain(ctx); err != nil {
+		level.Warn(m.cfg.Log).Log("Msg", "owner not drained in time, stopping it with requests in flight", "Owner", ro.owner.Name(), "Err", err)
 	}
-	level.Info(m.cfg.Log).Log("Msg", "upstream is no longer served here", "Owner", cell.owner.Name())
-	return cell.task.stop()
+	level.Info(m.cfg.Log).Log("Msg", "stopping owner", "Owner", ro.owner.Name())
+	return ro.task.stop()
 }
 
 func (m *Manager) stopAll() error {
 	m.mu.Lock()
 	owners, groups := m.owners, m.groups
-	m.owners, m.groups = map[core.UpstreamID]*ownerCell{}, map[core.GroupID]*groupCell{}
+	m.owners, m.groups = map[core.UpstreamID]*runningOwner{}, map[core.GroupID]*runningGroup{}
 	m.draining = true
 	m.mu.Unlock()
 	var errs []error
-	for _, cell := range owners {
-		errs = append(errs, cell.task.stop())
+	for _, ro := range owners {
+		errs = append(errs, ro.task.stop())
 	}
 	for _, g := range groups {
 		errs = append(errs, g.stop())
@@ -253,33 +252,34 @@
 	return errors.Join(errs...)
 }
 
-// Drain refuses new requests on all owners and waits until the ones in flight have ended.
+// Drain refuses new requests on all owners and waits for the requests in flight.
 func (m *Manager) Drain(ctx context.Context) error {
 	m.mu.Lock()
 	m.draining = true
-	cells := make([]*ownerCell, 0, len(m.owners))
-	for _, cell := range m.owners {
-		cells = append(cells, cell)
+	owners := make([]*runningOwner, 0, len(m.owners))
+	for _, ro := range m.owners {
+		owners = append(owners, ro)
 	}
 	m.mu.Unlock()
-	ends := make(chan error, len(cells))
-	for _, cell := range cells {
-		go func() { ends <- cell.owner.Drain(ctx) }()
+	ends := make(chan error, len(owners))
+	for _, ro := range owners {
+		go func() { ends <- ro.owner.Drain(ctx) }()
 	}
 	var errs []error
-	for range cells {
+	for range owners {
 		errs = append(errs, <-ends)
 	}
 	return errors.Join(errs...)
 }
 
-// Executor returns the owner of the upstream in this process and starts it if needed.
+// Executor returns the owner of the upstream in this process, and starts it if necessary. It returns
+// false for an unknown upstream, and while the manager is stopped or draining.
 func (m *Manager) Executor(id core.UpstreamID) (core.Executor, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if cell, ok := m.owners[id]; ok {
-		cell.lastUsed = time.Now()
-		return cell.owner, true
+	if ro, ok := m.owners[id]; ok {
+		ro.lastUsed = time.Now()
+		return ro.owner, true
 	}
 	info, ok := m.upstreams[id]
 	if !ok || m.draining || m.ctx == nil || m.ctx.Err() != nil {
@@ -288,7 +288,7 @@
 	return m.start(info, false).owner, true
 }
 
-// View returns the monitor of the group if it runs in this process.
+// View returns the monitor of the group, or false if none runs in this process.
 func (m *Manager) View(id core.GroupID) (core.GroupView, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/core/assign/assign_test.go
+++ b/core/assign/assign_test.go
@@ -12,7 +12,7 @@
 	"snipewall/core"
 )
 
-// fakeOwner counts what happens to the owner of one upstream.
+// fakeOwner records the calls to the owner of one upstream.
 type fakeOwner struct {
 	id core.UpstreamID
 
@@ -50,7 +50,7 @@
 	return o.running, o.drained, o.assigned
 }
 
-// fakeMembers is a membership that a test changes.
+// fakeMembers is a membership that the test changes.
 type fakeMembers struct {
 	core.Members
 	mu    sync.Mutex
@@ -74,7 +74,7 @@
 	}
 }
 
-// fixture runs a manager with one upstream that belongs to the last live entry VM.
+// fixture runs a manager with one upstream, which is assigned to the last entry VM that is alive.
 type fixture struct {
 	*Manager
 	members *fakeMembers
@@ -83,7 +83,7 @@
 	owners []*fakeOwner
 }
 
-// started returns the owners that were started so far.
+// started returns the owners that have been started.
 func (f *fixture) started() []*fakeOwner {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,34 +124,34 @@
 	})
 }
 
-// Guards against a starting entry VM that takes itself for the only one and opens connections to
-// all upstreams.
-func TestStartWaitsForOthers(t *testing.T) {
+// Guards against a starting entry VM that considers itself the only one and opens connections to all
+// upstreams.
+func TestStartWaitsForMembership(t *testing.T) {
 	runManager(t, func(f *fixture) {
 		time.Sleep(time.Second)
 		assert.Equal(t, len(f.started()), 0)
 		f.members.set("vm-1", "vm-2")
-		time.Sleep(settleTime)
+		time.Sleep(joinWait)
 		assert.Equal(t, len(f.started()), 0)
 	})
 	runManager(t, func(f *fixture) {
-		time.Sleep(settleTime + time.Second)
+		time.Sleep(joinWait + time.Second)
 		assert.Equal(t, len(f.started()), 1)
 	})
 }
 
-// Guards against an owner that keeps connections ready after the assignment moved, or that goes on
-// for ever when nobody asks it.
-func TestAssignmentMoves(t *testing.T) {
+// Guards against an owner that keeps idle connections after its upstream was assigned to another entry
+// VM, or that never stops although it is unused.
+func TestLostAssignmentStopsOwner(t *testing.T) {
 	runManager(t, func(f *fixture) {
-		time.Sleep(settleTime + time.Second)
+		time.Sleep(joinWait + time.Second)
 		_, _, assigned := f.started()[0].state()
 		assert.Assert(t, assigned)
 		f.members.set("vm-1", "vm-2")
 		time.Sleep(time.Second)
 		running, _, assigned := f.started()[0].state()
 		assert.Assert(t, running && !assigned)
-		time.Sleep(DefaultLinger + time.Second)
+		time.Sleep(DefaultIdleTimeout + time.Second)
 		running, drained, _ := f.started()[0].state()
 		assert.Assert(t, !running && drained)
 		_, ok := f.View("berth")
@@ -159,17 +159,17 @@
 	})
 }
 
-// Guards against an entry VM that can't stand in when the owner isn't reachable.
+// Guards against an entry VM that can't serve an upstream on demand when the owner isn't reachable.
 func TestServesOnDemand(t *testing.T) {
 	runManager(t, func(f *fixture) {
 		f.members.set("vm-1", "vm-2")
-		time.Sleep(settleTime)
+		time.Sleep(joinWait)
 		_, ok := f.Executor("berth-1")
 		assert.Assert(t, ok)
 		_, _, assigned := f.started()[0].state()
 		assert.Assert(t, !assigned)
 		for range 10 {
-			time.Sleep(DefaultLinger / 2)
+			time.Sleep(DefaultIdleTimeout / 2)
 			_, ok = f.Executor("berth-1")
 			assert.Assert(t, ok)
 		}
--- a/core/assign/state.go
+++ b/core/assign/state.go
@@ -4,7 +4,7 @@
 	"snipewall/core"
 )
 
-// State is the manager's part of a state dump.
+// State is a snapshot of the manager for diagnosis.
 type State struct {
 	Owners map[core.UpstreamID]OwnerState
 	Groups map[core.GroupID]map[string]any
@@ -12,12 +12,13 @@
 
 // OwnerState describes one running owner.
 type OwnerState struct {
-	// Assigned tells that rendezvous hashing names this entry VM; otherwise it serves on demand.
+	// Assigned is set if rendezvous hashing assigns the upstream to this entry VM; otherwise the owner
+	// serves on demand.
 	Assigned bool
 	Owner    any
 }
 
-// Dump implements core.Dumper.
+// Dump implements core.Dumper. It returns a State.
 func (m *Manager) Dump() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -25,20 +26,20 @@
 		Owners: make(map[core.UpstreamID]OwnerState, len(m.owners)),
 		Groups: make(map[core.GroupID]map[string]any, len(m.groups)),
 	}
-	for id, cell := range m.owners {
-		s.Owners[id] = OwnerState{Assigned: cell.assigned, Owner: dumpOf(cell.owner)}
+	for id, ro := range m.owners {
+		s.Owners[id] = OwnerState{Assigned: ro.assigned, Owner: dump(ro.owner)}
 	}
 	for id, g := range m.groups {
 		services := make(map[string]any, len(g.group.Services))
 		for _, service := range g.group.Services {
-			services[service.Name()] = dumpOf(service)
+			services[service.Name()] = dump(service)
 		}
 		s.Groups[id] = services
 	}
 	return s
 }
 
-func dumpOf(v any) any {
+func dump(v any) any {
 	if d, ok := v.(core.Dumper); ok {
 		return d.Dump()
 	}
--- a/core/assign/task.go
+++ b/core/assign/task.go
@@ -7,23 +7,23 @@
 	"snipewall/core"
 )
 
-// task is a service that runs in a goroutine of its own.
+// task is a service that runs in its own goroutine.
 type task struct {
 	cancel context.CancelFunc
-	end    chan error
+	exit   chan error
 }
 
 func startTask(ctx context.Context, s core.Service) *task {
 	ctx, cancel := context.WithCancel(ctx)
-	t := &task{cancel: cancel, end: make(chan error, 1)}
-	go func() { t.end <- s.Run(ctx) }()
+	t := &task{cancel: cancel, exit: make(chan error, 1)}
+	go func() { t.exit <- s.Run(ctx) }()
 	return t
 }
 
-// stop ends the service and waits for it.
+// stop stops the service and waits until it has returned.
 func (t *task) stop() error {
 	t.cancel()
-	if err := <-t.end; err != nil && !errors.Is(err, context.Canceled) {
+	if err := <-t.exit; err != nil && !errors.Is(err, context.Canceled) {
 		return err
 	}
 	return nil
