--- a/core/stmt/classify.go
+++ b/core/stmt/classify.go
@@ -4,7 +4,7 @@
 	"strings"
 )
 
-// Classify tells what the text does, as far as routing needs to know.
+// Classify classifies the statements of an SQL text for routing.
 func Classify(text string) Info {
 	c := classifier{lexer: lexer{text: text}}
 	for c.statement() {
@@ -12,35 +12,35 @@
 	return c.result()
 }
 
-// classifier walks over the statements of a text.
+// classifier iterates over the statements of a text.
 type classifier struct {
 	lexer
 	info Info
 	tok  token
-	buf  [maxWord]byte
+	buf  [maxWordLength]byte
 
 	beginsRead bool
-	// alias tells that the previous word is one after which an alias with a column list may stand.
-	alias bool
-	// closed tells that the previous token is a closing parenthesis.
-	closed bool
-	remote int
+	// aliasExpected is set if the previous word can be followed by an alias with a column list.
+	aliasExpected bool
+	// afterParen is set if the previous token is a closing parenthesis.
+	afterParen         bool
+	upstreamStatements int
 }
 
 // advance reads the next token.
 func (c *classifier) advance() { c.tok = c.next() }
 
-// wordOf returns the current token in lower case if it is a word that may be known, or nil.
-func (c *classifier) wordOf() []byte {
+// keyword returns the current token in lower case, or nil if it isn't a word or too long for a keyword.
+func (c *classifier) keyword() []byte {
 	if c.tok.kind != tokenWord {
 		return nil
 	}
 	return lower(c.text[c.tok.start:c.tok.end], &c.buf)
 }
 
-// accept advances past the current token if it is the word.
+// accept advances past the current token and returns true if it is the word.
 func (c *classifier) accept(word string) bool {
-	if string(c.wordOf()) != word {
+	if string(c.keyword()) != word {
 		return false
 	}
 	c.advance()
@@ -49,7 +49,7 @@
 
 // atEnd reports whether the current token ends the statement.
 func (c *classifier) atEnd() bool {
-	return c.tok.kind == tokenEnd || c.tok.kind == tokenBroken ||
+	return c.tok.kind == tokenEOF || c.tok.kind == tokenUnterminated ||
 		c.tok.kind == tokenPunct && c.tok.punct == ';'
 }
 
@@ -58,7 +58,7 @@
 // statement classifies one statement. It returns false at the end of the text.
 func (c *classifier) statement() bool {
 	c.advance()
-	if c.tok.kind == tokenEnd {
+	if c.tok.kind == tokenEOF {
 		return false
 	}
 	if c.tok.kind == tokenPunct && c.tok.punct == ';' {
@@ -66,23 +66,23 @@
 	}
 	c.info.Statements++
 	locals := len(c.info.Locals)
-	c.first()
+	c.dispatch()
 	if len(c.info.Locals) == locals {
-		c.remote++
+		c.upstreamStatements++
 	}
 	c.skipStatement()
-	return c.tok.kind != tokenEnd
+	return c.tok.kind != tokenEOF
 }
 
 // skipStatement moves to the end of the statement. A semicolon inside parentheses, as CREATE RULE
 // allows, doesn't end it.
 func (c *classifier) skipStatement() {
 	depth := 0
-	for c.tok.kind != tokenEnd {
+	for c.tok.kind != tokenEOF {
 		switch {
-		case c.tok.kind == tokenBroken:
+		case c.tok.kind == tokenUnterminated:
 			c.info.Writes = true
-			c.tok.kind = tokenEnd
+			c.tok.kind = tokenEOF
 			return
 		case c.tok.kind != tokenPunct:
 		case c.tok.punct == '(':
@@ -94,13 +94,13 @@
 		}
 		c.advance()
 	}
-	// What an unbalanced parenthesis hides is unknown.
+	// An unbalanced parenthesis may hide further statements.
 	c.info.Writes = c.info.Writes || depth > 0
 }
 
-// first dispatches on the first word of a statement.
-func (c *classifier) first() {
-	switch string(c.wordOf()) {
+// dispatch classifies a statement by its first word.
+func (c *classifier) dispatch() {
+	switch string(c.keyword()) {
 	case "select", "with", "values", "table":
 		c.query()
 	case "explain":
@@ -116,7 +116,7 @@
 	case "commit", "end", "rollback", "abort":
 		c.end()
 	case "savepoint", "release", "fetch", "move", "close":
-		// They work on the state of a transaction only.
+		// These only affect the state of a transaction.
 	case "set":
 		c.advance()
 		c.set()
@@ -128,7 +128,7 @@
 		c.reset()
 	case "discard":
 		c.advance()
-		c.local(Local{Action: ActionDiscard, Name: string(c.wordOf())})
+		c.local(Local{Action: ActionDiscard, Name: string(c.keyword())})
 	case "declare":
 		c.declare()
 	case "create":
@@ -136,17 +136,17 @@
 	case "insert", "update", "delete", "merge":
 		c.write()
 	default:
-		c.other()
+		c.dispatchOther()
 	}
 }
 
-// other handles the rare statements, and refuses those that a pool can't serve.
-func (c *classifier) other() {
+// dispatchOther classifies the less frequent statements, and refuses those that a pool can't serve.
+func (c *classifier) dispatchOther() {
 	if c.tok.kind == tokenPunct && c.tok.punct == '(' {
 		c.query()
 		return
 	}
-	switch string(c.wordOf()) {
+	switch string(c.keyword()) {
 	case "listen", "unlisten":
 		c.refuse(errListen)
 	case "notify":
@@ -169,17 +169,17 @@
 	}
 }
 
-// write scans a statement that may change data for functions that a pool can't serve.
+// write classifies a statement that may change data, and refuses functions that a pool can't serve.
 func (c *classifier) write() {
 	c.info.Writes = true
 	c.scan()
 }
 
-// explain classifies EXPLAIN like the statement that it may execute.
+// explain classifies EXPLAIN like the statement that it contains, since ANALYZE executes it.
 func (c *classifier) explain() {
 	c.advance()
 	if c.acceptPunct('(') {
-		for depth := 1; depth > 0 && c.tok.kind != tokenEnd && c.tok.kind != tokenBroken; c.advance() {
+		for depth := 1; depth > 0 && c.tok.kind != tokenEOF && c.tok.kind != tokenUnterminated; c.advance() {
 			switch {
 			case c.tok.kind != tokenPunct:
 			case c.tok.punct == '(':
@@ -192,7 +192,7 @@
 	for c.accept("analyze") || c.accept("analyse") || c.accept("verbose") {
 		continue
 	}
-	switch string(c.wordOf()) {
+	switch string(c.keyword()) {
 	case "select", "with", "values", "table":
 		c.query()
 	case "execute":
@@ -213,7 +213,7 @@
 	readOnly := false
 	for !c.atEnd() {
 		if c.accept("read") {
-			readOnly = string(c.wordOf()) == "only" || readOnly && string(c.wordOf()) != "write"
+			readOnly = string(c.keyword()) == "only" || readOnly && string(c.keyword()) != "write"
 			continue
 		}
 		c.advance()
@@ -223,7 +223,7 @@
 }
 
 func (c *classifier) end() {
-	word := string(c.wordOf())
+	word := string(c.keyword())
 	rollback := word == "rollback"
 	c.advance()
 	if !c.accept("work") {
@@ -232,7 +232,7 @@
 	switch {
 	case rollback && c.accept("to"):
 		return
-	case string(c.wordOf()) == "prepared":
+	case string(c.keyword()) == "prepared":
 		c.refuse(errTwoPhase)
 	case c.accept("and") && !c.accept("no"):
 		c.refuse(errChain)
@@ -244,13 +244,13 @@
 func (c *classifier) declare() {
 	for !c.atEnd() {
 		if c.accept("with") {
-			if string(c.wordOf()) == "hold" {
+			if string(c.keyword()) == "hold" {
 				c.refuse(errHold)
 				return
 			}
 			continue
 		}
-		if string(c.wordOf()) == "for" {
+		if string(c.keyword()) == "for" {
 			c.advance()
 			c.query()
 			return
@@ -268,17 +268,17 @@
 	if !c.accept("local") {
 		c.accept("global")
 	}
-	switch string(c.wordOf()) {
+	switch string(c.keyword()) {
 	case "temp", "temporary":
 		c.refuse(errTemp)
 		return
 	}
-	// The body of a function in the form BEGIN ATOMIC ... END contains semicolons. The rest of the
-	// text then counts as part of the function.
+	// The body of a function in the form BEGIN ATOMIC ... END contains semicolons, so the rest of the text
+	// is taken as part of the function.
 	for !c.atEnd() {
-		if c.accept("begin") && string(c.wordOf()) == "atomic" {
-			c.at = len(c.text)
-			c.tok = token{kind: tokenEnd, start: c.at, end: c.at}
+		if c.accept("begin") && string(c.keyword()) == "atomic" {
+			c.pos = len(c.text)
+			c.tok = token{kind: tokenEOF, start: c.pos, end: c.pos}
 			return
 		}
 		if !c.atEnd() {
@@ -289,19 +289,19 @@
 
 func (c *classifier) local(l Local) { c.info.Locals = append(c.info.Locals, l) }
 
-// set handles SET after the word SET.
+// set handles the rest of a SET statement.
 func (c *classifier) set() {
 	local := false
 	switch {
 	case c.accept("local"):
 		local = true
 	case c.accept("session"):
-		if string(c.wordOf()) == "characteristics" {
+		if string(c.keyword()) == "characteristics" {
 			c.refuse(errCharacteristics)
 			return
 		}
 	}
-	switch string(c.wordOf()) {
+	switch string(c.keyword()) {
 	case "transaction", "constraints":
 		return
 	case "role", "authorization":
@@ -321,7 +321,7 @@
 		}
 		return
 	}
-	if name != "timezone" && name != "client_encoding" || !c.valueFollows(name) {
+	if name != "timezone" && name != "client_encoding" || !c.hasBareValue(name) {
 		if !c.accept("to") && !c.acceptPunct('=') {
 			c.refuse(errSetSyntax)
 			return
@@ -330,10 +330,10 @@
 	c.values(name)
 }
 
-// valueFollows reports whether the parameter was named by SET TIME ZONE or SET NAMES, which take
-// the value without an equals sign.
-func (c *classifier) valueFollows(name string) bool {
-	if c.tok.kind == tokenPunct && c.tok.punct == '=' || string(c.wordOf()) == "to" {
+// hasBareValue reports whether the parameter was named by SET TIME ZONE or SET NAMES, whose value
+// follows without an equals sign or TO.
+func (c *classifier) hasBareValue(name string) bool {
+	if c.tok.kind == tokenPunct && c.tok.punct == '=' || string(c.keyword()) == "to" {
 		return false
 	}
 	return name != ""
@@ -347,7 +347,7 @@
 	return true
 }
 
-// values reads the values of SET and records the statement.
+// values reads the values of SET and records the statement as local.
 func (c *classifier) values(name string) {
 	l := Local{Action: ActionSet, Name: name}
 	var value strings.Builder
@@ -366,7 +366,7 @@
 		default:
 			value.WriteString(c.unquote(c.tok))
 		}
-		if string(c.wordOf()) == "default" {
+		if string(c.keyword()) == "default" {
 			l.Default = true
 		}
 		c.advance()
@@ -375,7 +375,7 @@
 	c.local(l)
 }
 
-// parameter reads the name of a parameter, which may be dotted.
+// parameter reads a parameter name, which may contain dots.
 func (c *classifier) parameter() (string, bool) {
 	if c.accept("names") {
 		return "client_encoding", true
@@ -398,7 +398,7 @@
 	return strings.ToLower(name), true
 }
 
-// show handles SHOW. Only the parameters of snipewall are answered by the listener.
+// show handles SHOW. The listener only answers it for parameters of snipewall.
 func (c *classifier) show() {
 	name, ok := c.parameter()
 	switch {
@@ -406,7 +406,7 @@
 	case strings.HasPrefix(name, Prefix):
 		c.local(Local{Action: ActionShow, Name: name})
 	case name == "transaction_read_only", name == "in_hot_standby":
-		// Drivers ask for it to find out whether the server accepts writes.
+		// Drivers query these to find out whether the server accepts writes.
 		c.info.Writes = true
 	}
 }
@@ -424,14 +424,14 @@
 	c.local(Local{Action: ActionReset, Name: name})
 }
 
-// Prefix starts the names of snipewall's own parameters.
+// Prefix is the prefix of snipewall's own parameters.
 const Prefix = "snipewall."
 
-// result folds the statements.
+// result returns the info of all statements together.
 func (c *classifier) result() Info {
-	if len(c.info.Locals) > 0 && c.remote > 0 {
+	if len(c.info.Locals) > 0 && c.upstreamStatements > 0 {
 		c.refuse(errMixed)
 	}
-	c.info.Class = c.info.strongest(c.beginsRead)
+	c.info.Class = c.info.combinedClass(c.beginsRead)
 	return c.info
 }
--- a/core/stmt/classify_test.go
+++ b/core/stmt/classify_test.go
@@ -9,7 +9,8 @@
 	"snipewall/core"
 )
 
-// A write that is classified as a read would be answered without confirmation, or run on a replica.
+// Guards against a write that is classified as a read: it would run on a replica, or be acknowledged
+// without confirmation.
 func TestClass(t *testing.T) {
 	for class, texts := range map[core.Class][]string{
 		core.ClassRead: {
@@ -77,7 +78,7 @@
 	}
 }
 
-// A statement whose effect stays in its database session would reach other callers.
+// Guards against statements that leave state in a database session, which other callers would see.
 func TestUnsupported(t *testing.T) {
 	for statement, texts := range map[string][]string{
 		"LISTEN":                {"listen a", "unlisten *", "select 1; listen a", "/* x */ LISTEN a", "-- x\nlisten a"},
@@ -114,7 +115,7 @@
 	}
 }
 
-func TestLocals(t *testing.T) {
+func TestLocalStatements(t *testing.T) {
 	for text, want := range map[string][]Local{
 		"set snipewall.kind = 'quote'":         {{Action: ActionSet, Name: "snipewall.kind", Value: "quote"}},
 		"SET SESSION Snipewall.Kind TO quote;": {{Action: ActionSet, Name: "snipewall.kind", Value: "quote"}},
@@ -149,8 +150,8 @@
 	}
 }
 
-// Then must find the same as classifying the statements in one text.
-func TestThen(t *testing.T) {
+// Append must give the same result as classifying the statements in one text.
+func TestAppend(t *testing.T) {
 	texts := []string{"select 1", "insert into t values (1)", "begin", "begin read only", "commit", "rollback"}
 	for _, a := range texts {
 		for _, b := range texts {
@@ -170,7 +171,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		info := Classify(text)
-		// What follows a statement must never make it weaker.
+		// A statement that follows must never be hidden.
 		if worse := Classify(text + "\n;insert into t values (1)"); worse.Unsupported == nil &&
 			worse.Class == core.ClassRead {
 			t.Fatalf("%q hides an insert: %+v", text, worse)
--- a/core/stmt/info.go
+++ b/core/stmt/info.go
@@ -4,26 +4,26 @@
 	"snipewall/core"
 )
 
-// Info is what the classifier knows about a text, which may contain several statements.
+// Info is the classification of a text, which may contain several statements.
 type Info struct {
-	// Class is the strongest class of the statements. A text that opens a transaction has the class
-	// of its BEGIN, even if it ends the transaction too.
+	// Class is the strictest class of the statements. A text that opens a transaction has the class of its
+	// BEGIN, even if it also ends the transaction.
 	Class core.Class
-	// Statements is the number of statements; 0 for a text of blanks and comments only.
+	// Statements is the number of statements; 0 for a text of only blanks and comments.
 	Statements int
-	// Begins tells that the text opens a transaction.
+	// Begins is set if the text opens a transaction.
 	Begins bool
-	// Ends tells that the text commits or rolls back, and Commits that it commits.
+	// Ends is set if the text commits or rolls back, Commits if it commits.
 	Ends, Commits bool
-	// Writes tells that the text contains a write, whatever its class.
+	// Writes is set if the text contains a write, whatever its class is.
 	Writes bool
-	// NeedsTx names a function that depends on the state of the database session, such as currval,
-	// and therefore has a meaning only inside a transaction.
+	// NeedsTx names a function that depends on the state of the database session, such as currval, and is
+	// therefore only meaningful inside a transaction.
 	NeedsTx string
-	// Locals holds the statements that the listener executes itself. A text that mixes them with
-	// other statements is unsupported.
+	// Locals holds the statements that the listener executes itself. A text that combines them with other
+	// statements is unsupported.
 	Locals []Local
-	// Unsupported tells why the text can't be served, or is nil.
+	// Unsupported is the reason why the text can't be served, or nil.
 	Unsupported *UnsupportedError
 }
 
@@ -45,12 +45,12 @@
 	if next.Unsupported != nil {
 		i.refuse(next.Unsupported)
 	}
-	i.Class = i.strongest(readOnly)
+	i.Class = i.combinedClass(readOnly)
 	return i
 }
 
-// strongest returns the class of everything in the text together.
-func (i *Info) strongest(readOnly bool) core.Class {
+// combinedClass returns the class of all statements together.
+func (i *Info) combinedClass(readOnly bool) core.Class {
 	switch {
 	case i.Begins && readOnly && !i.Writes:
 		return core.ClassBeginRead
@@ -64,17 +64,17 @@
 	return core.ClassRead
 }
 
-// refuse records the first reason why the text can't be served.
+// refuse sets Unsupported unless an earlier reason is set.
 func (i *Info) refuse(err *UnsupportedError) {
 	if i.Unsupported == nil {
 		i.Unsupported = err
 	}
 }
 
-// Action is what a Local does.
+// Action is the effect of a Local.
 type Action uint8
 
-// Actions of statements that the listener executes.
+// Actions of local statements.
 const (
 	// ActionSet sets a parameter for the session.
 	ActionSet Action = iota
@@ -82,27 +82,26 @@
 	ActionShow
 	// ActionReset resets the parameter Name, or all parameters if Name is "all".
 	ActionReset
-	// ActionDiscard discards a part of the session's state; Name is "all", "plans", "sequences" or
-	// "temp".
+	// ActionDiscard discards part of the session's state; Name is "all", "plans", "sequences" or "temp".
 	ActionDiscard
 )
 
 // Local is a statement that the listener executes itself.
 type Local struct {
 	Action Action
-	// Name is the parameter in lower case.
+	// Name is the name of the parameter in lower case.
 	Name string
-	// Value is the new value; lists are joined by ", ".
+	// Value is the new value; the elements of a list are joined by ", ".
 	Value string
-	// Default tells that the parameter is set to its default.
+	// Default is set if the parameter is set to its default.
 	Default bool
 }
 
-// UnsupportedError tells that a statement can't be served through a pool that works by transaction.
+// UnsupportedError reports that a statement can't be served with transaction pooling.
 type UnsupportedError struct {
-	// Statement names the statement, for example "LISTEN".
+	// Statement is the name of the statement, for example "LISTEN".
 	Statement string
-	// Hint tells what to do instead.
+	// Hint suggests an alternative.
 	Hint string
 }
 
@@ -112,7 +111,7 @@
 	return &UnsupportedError{Statement: statement, Hint: hint}
 }
 
-// Statements that leave state behind in their database session, or need one of their own.
+// Statements that leave state in their database session, or need a session of their own.
 var (
 	errListen  = unsupported("LISTEN", "Poll a table, or listen on a direct connection to the database.")
 	errNotify  = unsupported("NOTIFY", "Write to a table that the receivers poll.")
--- a/core/stmt/lexer.go
+++ b/core/stmt/lexer.go
@@ -5,15 +5,15 @@
 type tokenKind uint8
 
 const (
-	tokenEnd tokenKind = iota
+	tokenEOF tokenKind = iota
 	tokenWord
 	tokenQuotedName
 	tokenString
 	tokenNumber
 	tokenParam
 	tokenPunct
-	// tokenBroken is an unterminated string, name or comment. It extends to the end of the text.
-	tokenBroken
+	// tokenUnterminated is an unterminated string, name or comment. It extends to the end of the text.
+	tokenUnterminated
 )
 
 // token is a piece of the text. For strings and quoted names, start and end include the quotes.
@@ -23,14 +23,14 @@
 	start, end int
 }
 
-// lexer splits SQL text with standard_conforming_strings on.
+// lexer splits SQL text into tokens, assuming standard_conforming_strings = on.
 type lexer struct {
 	text string
-	at   int
+	pos  int
 }
 
-// wordBytes tells which bytes may stand inside a word. Bytes above 0x7f are letters, as in the
-// server's own lexer.
+// wordBytes is the set of bytes that can occur inside a word. Bytes above 0x7f are letters, as in the
+// server's lexer.
 var wordBytes = func() (set [256]bool) {
 	for c := range 256 {
 		b := byte(c)
@@ -50,11 +50,11 @@
 // next returns the next token, skipping whitespace and comments.
 func (l *lexer) next() token {
 	if !l.skipBlank() {
-		return token{kind: tokenBroken, start: l.at, end: len(l.text)}
+		return token{kind: tokenUnterminated, start: l.pos, end: len(l.text)}
 	}
-	start := l.at
+	start := l.pos
 	if start >= len(l.text) {
-		return token{kind: tokenEnd, start: start, end: start}
+		return token{kind: tokenEOF, start: start, end: start}
 	}
 	c := l.text[start]
 	switch {
@@ -68,32 +68,32 @@
 		return l.dollar(start)
 	case isDigit(c):
 		l.number()
-		return token{kind: tokenNumber, start: start, end: l.at}
+		return token{kind: tokenNumber, start: start, end: l.pos}
 	}
-	l.at++
-	return token{kind: tokenPunct, punct: c, start: start, end: l.at}
+	l.pos++
+	return token{kind: tokenPunct, punct: c, start: start, end: l.pos}
 }
 
-// skipBlank skips whitespace and comments. It returns false at an unterminated comment.
+// skipBlank skips whitespace and comments. It returns false for an unterminated comment.
 func (l *lexer) skipBlank() bool {
-	for l.at < len(l.text) {
-		c := l.text[l.at]
+	for l.pos < len(l.text) {
+		c := l.text[l.pos]
 		switch {
 		case isSpace(c):
-			l.at++
-		case c == '-' && strings.HasPrefix(l.text[l.at:], "--"):
-			end := strings.IndexAny(l.text[l.at:], "\r\n")
+			l.pos++
+		case c == '-' && strings.HasPrefix(l.text[l.pos:], "--"):
+			end := strings.IndexAny(l.text[l.pos:], "\r\n")
 			if end < 0 {
-				l.at = len(l.text)
+				l.pos = len(l.text)
 				return true
 			}
-			l.at += end
-		case c == '/' && strings.HasPrefix(l.text[l.at:], "/*"):
-			end := commentEnd(l.text, l.at)
+			l.pos += end
+		case c == '/' && strings.HasPrefix(l.text[l.pos:], "/*"):
+			end := commentEnd(l.text, l.pos)
 			if end < 0 {
 				return false
 			}
-			l.at = end
+			l.pos = end
 		default:
 			return true
 		}
@@ -128,7 +128,7 @@
 	for i < len(l.text) && wordBytes[l.text[i]] {
 		i++
 	}
-	l.at = i
+	l.pos = i
 	if i >= len(l.text) {
 		return token{kind: tokenWord, start: start, end: i}
 	}
@@ -147,8 +147,8 @@
 	return token{kind: tokenWord, start: start, end: i}
 }
 
-// quoted reads a string or quoted name whose opening quote is at open. A string that is continued
-// after a newline keeps the escape rule of its first part.
+// quoted reads a string or quoted name whose opening quote is at open. The parts of a string that
+// continues after a newline follow the escape rule of the first part.
 func (l *lexer) quoted(start, open int, kind tokenKind, escapes bool) token {
 	quote := l.text[open]
 	i := open + 1
@@ -172,15 +172,15 @@
 				continue
 			}
 		}
-		l.at = i
+		l.pos = i
 		return token{kind: kind, start: start, end: i}
 	}
-	l.at = len(l.text)
-	return token{kind: tokenBroken, start: start, end: l.at}
+	l.pos = len(l.text)
+	return token{kind: tokenUnterminated, start: start, end: l.pos}
 }
 
-// continuation returns the index after the opening quote of a string's next part, which follows
-// after whitespace with a newline, or 0.
+// continuation returns the index after the opening quote of a string's next part, which must be preceded
+// by whitespace with a newline. Without such a part it returns 0.
 func continuation(text string, i int) int {
 	newline := false
 	for ; i < len(text) && isSpace(text[i]); i++ {
@@ -199,39 +199,39 @@
 		for i < len(l.text) && isDigit(l.text[i]) {
 			i++
 		}
-		l.at = i
+		l.pos = i
 		return token{kind: tokenParam, start: start, end: i}
 	}
 	for i < len(l.text) && l.text[i] != '$' && wordBytes[l.text[i]] {
 		i++
 	}
 	if i >= len(l.text) || l.text[i] != '$' {
-		l.at = start + 1
-		return token{kind: tokenPunct, punct: '$', start: start, end: l.at}
+		l.pos = start + 1
+		return token{kind: tokenPunct, punct: '$', start: start, end: l.pos}
 	}
 	tag := l.text[start : i+1]
 	end := strings.Index(l.text[i+1:], tag)
 	if end < 0 {
-		l.at = len(l.text)
-		return token{kind: tokenBroken, start: start, end: l.at}
+		l.pos = len(l.text)
+		return token{kind: tokenUnterminated, start: start, end: l.pos}
 	}
-	l.at = i + 1 + end + len(tag)
-	return token{kind: tokenString, start: start, end: l.at}
+	l.pos = i + 1 + end + len(tag)
+	return token{kind: tokenString, start: start, end: l.pos}
 }
 
 func (l *lexer) number() {
-	for l.at < len(l.text) && (wordBytes[l.text[l.at]] || l.text[l.at] == '.') {
-		l.at++
+	for l.pos < len(l.text) && (wordBytes[l.text[l.pos]] || l.text[l.pos] == '.') {
+		l.pos++
 	}
 }
 
-// maxWord is the length of the longest word that the classifier knows.
-const maxWord = 32
+// maxWordLength is an upper limit of the length of all words that the classifier knows.
+const maxWordLength = 32
 
-// lower writes the lower-case form of the word into buf. It returns nil for a word that is too long
-// to be known.
-func lower(word string, buf *[maxWord]byte) []byte {
-	if len(word) > maxWord {
+// lower writes the lower-case form of the word into buf. It returns nil if the word is too long to be
+// one that the classifier knows.
+func lower(word string, buf *[maxWordLength]byte) []byte {
+	if len(word) > maxWordLength {
 		return nil
 	}
 	for i := range len(word) {
--- a/core/stmt/query.go
+++ b/core/stmt/query.go
@@ -1,28 +1,28 @@
 package stmt
 
-// query scans a query. It is a read unless something in it says otherwise.
+// query classifies a query, which is a read unless it contains something that writes.
 func (c *classifier) query() { c.scan() }
 
-// scan looks at all words up to the end of the statement.
+// scan examines all words up to the end of the statement.
 func (c *classifier) scan() {
 	depth := 0
 	prevDot, prevInto := false, false
 	var schema token
 	for {
 		switch c.tok.kind {
-		case tokenEnd, tokenBroken:
+		case tokenEOF, tokenUnterminated:
 			return
 		case tokenWord, tokenQuotedName:
 			if prevInto {
-				c.intoTarget()
+				c.checkIntoTarget()
 			}
-			prevAlias := c.alias
-			c.alias = false
-			prevInto = c.word(schema, prevDot, prevAlias)
+			prevAlias := c.aliasExpected
+			c.aliasExpected = false
+			prevInto = c.classifyWord(schema, prevDot, prevAlias)
 			if !prevDot {
 				schema = c.tok
 			}
-			prevDot, c.closed = false, false
+			prevDot, c.afterParen = false, false
 		case tokenPunct:
 			switch c.tok.punct {
 			case ';':
@@ -35,34 +35,34 @@
 				depth--
 			}
 			prevDot = c.tok.punct == '.'
-			c.closed = c.tok.punct == ')'
-			c.alias, prevInto = false, false
+			c.afterParen = c.tok.punct == ')'
+			c.aliasExpected, prevInto = false, false
 		default:
-			prevDot, prevInto, c.alias, c.closed = false, false, false, false
+			prevDot, prevInto, c.aliasExpected, c.afterParen = false, false, false, false
 		}
 		c.advance()
 	}
 }
 
-// intoTarget refuses SELECT INTO TEMP.
-func (c *classifier) intoTarget() {
-	switch string(c.wordOf()) {
+// checkIntoTarget refuses SELECT INTO TEMP.
+func (c *classifier) checkIntoTarget() {
+	switch string(c.keyword()) {
 	case "temp", "temporary":
 		c.refuse(errTemp)
 	}
 }
 
-// word looks at a word or quoted name of a query. It returns true after INTO. A name followed by a
-// parenthesis is a function, unless it stands where an alias with a column list may stand.
-func (c *classifier) word(schema token, qualified, alias bool) bool {
-	name := c.wordOf()
+// classifyWord examines a word or quoted name of a query. It returns true for INTO. A name followed by a
+// parenthesis is a function call, unless an alias with a column list is possible there.
+func (c *classifier) classifyWord(schema token, qualified, alias bool) bool {
+	name := c.keyword()
 	if !c.callFollows() {
 		if qualified || name == nil {
 			return false
 		}
 		switch string(name) {
 		case "as", "with", "recursive", "tablesample":
-			c.alias = true
+			c.aliasExpected = true
 		case "insert", "update", "delete", "merge", "share":
 			c.info.Writes = true
 		case "into":
@@ -71,17 +71,17 @@
 		}
 		return false
 	}
-	if c.sessionFunction(name) {
+	if c.checkSessionFunction(name) {
 		return false
 	}
-	known := name != nil && harmless[string(name)]
+	known := name != nil && readOnlyWords[string(name)]
 	switch string(name) {
 	case "filter", "over":
-		// They follow a call of an aggregate; elsewhere they can name a function.
-		known = c.closed && !qualified
+		// They follow the call of an aggregate; elsewhere they can be function names.
+		known = c.afterParen && !qualified
 	}
 	if qualified {
-		var buf [maxWord]byte
+		var buf [maxWordLength]byte
 		known = known && schema.kind == tokenWord &&
 			string(lower(c.text[schema.start:schema.end], &buf)) == "pg_catalog"
 	}
@@ -106,14 +106,15 @@
 	case !isSpace(ch) && ch != '/' && ch != '-':
 		return false
 	}
-	saved := c.at
-	defer func() { c.at = saved }()
-	c.at = i
-	return c.skipBlank() && c.at < len(c.text) && c.text[c.at] == '('
+	saved := c.pos
+	defer func() { c.pos = saved }()
+	c.pos = i
+	return c.skipBlank() && c.pos < len(c.text) && c.text[c.pos] == '('
 }
 
-// sessionFunction handles functions that depend on the state of the database session.
-func (c *classifier) sessionFunction(name []byte) bool {
+// checkSessionFunction handles functions that depend on the state of the database session. It returns
+// false for other functions.
+func (c *classifier) checkSessionFunction(name []byte) bool {
 	switch string(name) {
 	case "pg_advisory_lock", "pg_advisory_lock_shared", "pg_try_advisory_lock",
 		"pg_try_advisory_lock_shared", "pg_advisory_unlock", "pg_advisory_unlock_shared",
@@ -134,16 +135,16 @@
 	return true
 }
 
-// setConfigIsLocal reports whether the third argument of set_config, whose name is the current
-// token, is evidently true. It leaves the position unchanged.
+// setConfigIsLocal reports whether the third argument of set_config is the literal true. The current
+// token is the function's name. The position doesn't change.
 func (c *classifier) setConfigIsLocal() bool {
-	ahead := lexer{text: c.text, at: c.tok.end}
+	ahead := lexer{text: c.text, pos: c.tok.end}
 	depth, commas := 0, 0
 	var last token
 	for {
 		t := ahead.next()
 		switch t.kind {
-		case tokenEnd, tokenBroken:
+		case tokenEOF, tokenUnterminated:
 			return false
 		case tokenPunct:
 			switch t.punct {
@@ -158,7 +159,7 @@
 			}
 		}
 		if depth == 0 {
-			var buf [maxWord]byte
+			var buf [maxWordLength]byte
 			return commas == 2 && last.kind == tokenWord &&
 				string(lower(c.text[last.start:last.end], &buf)) == "true"
 		}
--- a/core/stmt/harmless.go
+++ b/core/stmt/readonly.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// harmless holds the words that may precede a parenthesis in a read: keywords, types with a length,
-// and functions of the server that change nothing. A function that isn't listed counts as a write,
-// since it may be a function of the application that writes.
-var harmless = func() map[string]bool {
+// readOnlyWords holds the words that can precede a parenthesis in a read: keywords, types with a length,
+// and built-in functions without side effects. Any other function counts as a write, since it may be a
+// user-defined function that writes.
+var readOnlyWords = func() map[string]bool {
 	set := make(map[string]bool)
 	for _, words := range []string{keywords, types, aggregates, scalars, dates, documents, catalog, volatile} {
 		for w := range strings.FieldsSeq(words) {
@@ -16,7 +16,7 @@
 }()
 
 const (
-	// Words that can also name a function of the application, such as next or first, aren't listed.
+	// Words that are also likely names of user-defined functions, such as next or first, are left out.
 	keywords = `all and any array as between by case cast coalesce cube distinct else except exists
 		from greatest group grouping having ilike in intersect join lateral least like limit
 		materialized not nullif offset on only operator or overlaps rollup row select sets some
--- a/core/stmt/tags.go
+++ b/core/stmt/tags.go
@@ -8,7 +8,7 @@
 )
 
 // Tags are the values of a comment at the head of a statement, such as
-// /* kind='quote', session='desk-4', request_id='r-81' */. Tags that aren't given are empty.
+// /* kind='quote', session='desk-4', request_id='r-81' */. Missing tags are empty.
 type Tags struct {
 	Kind      string
 	Session   string
@@ -17,10 +17,9 @@
 	Position string
 }
 
-// ParseTags reads the tags of the comment at the head of the text, if there is one. It returns the
-// index after the comment, or 0 if the text has no tags. A comment that isn't a list of tags is an
-// ordinary comment, and unknown keys are ignored. It returns an error if the value of a known key
-// isn't percent-encoded correctly.
+// ParseTags parses the tags of the comment at the head of the text. It returns the index after the
+// comment, or 0 if the text has no tags. A comment that isn't a list of tags is an ordinary comment, and
+// unknown keys are ignored. It returns an error if the value of a known key is not valid percent-encoding.
 func ParseTags(text string) (Tags, int, error) {
 	start := 0
 	for start < len(text) && isSpace(text[start]) {
@@ -54,7 +53,7 @@
 	}
 }
 
-// Or returns the tags, completed by those of other.
+// Or returns the tags with empty values replaced by those of other.
 func (t Tags) Or(other Tags) Tags {
 	t.Kind = cmp.Or(t.Kind, other.Kind)
 	t.Session = cmp.Or(t.Session, other.Session)
@@ -63,7 +62,7 @@
 	return t
 }
 
-// cutTag cuts the first key='value' from the body, with the comma that follows.
+// cutTag splits off the first key='value' of the body and the comma that follows.
 func cutTag(body string) (key, value, rest string, ok bool) {
 	key, after, ok := strings.Cut(strings.TrimSpace(body), "='")
 	if !ok || key == "" || strings.ContainsAny(key, " '\t\r\n,=") {
--- a/core/stmt/tags_test.go
+++ b/core/stmt/tags_test.go
@@ -35,7 +35,7 @@
 	assert.ErrorContains(t, err, "comment tag kind")
 }
 
-// Any value must survive encoding and parsing, whatever it contains.
+// Checks that any value survives encoding and parsing.
 func FuzzParseTags(f *testing.F) {
 	f.Add("quote", "/* kind='a' */")
 	f.Add("it's */ 100%", "/* kind='%41', x='y")
@@ -47,7 +47,7 @@
 		assert.Equal(t, tags.Session, value)
 		assert.Assert(t, head > 0)
 		if _, head, err := ParseTags(raw); err == nil && head > 0 {
-			// The comment that is cut off must be a comment for the server too.
+			// The server must see the same end of the comment.
 			if end := commentEnd(raw, strings.Index(raw, "/*")); end != head {
 				t.Fatalf("%q: cut at %d, the comment ends at %d", raw, head, end)
 			}
