--- a/core/table/cache.go
+++ b/core/table/cache.go
@@ -12,57 +12,57 @@
 	"snipewall/core"
 )
 
-// Defaults of KeeperConfig.
+// Defaults of CacheConfig.
 const (
-	defaultWatchers = 2
-	// defaultPollBase and defaultPollStep give the time between slow polls of an entry VM without a
-	// watch. It grows with the fleet, so that all of them together make a constant number of calls.
-	defaultPollBase = time.Minute
-	defaultPollStep = 2 * time.Second
-	// roleCheckTime is how often an entry VM without a watch looks whether it has to take one over.
-	roleCheckTime = 500 * time.Millisecond
-	// watchSpacing is the least time between two watches that brought nothing new.
-	watchSpacing = time.Second
-	// emptyPollTime is the time between polls as long as there is no table.
-	emptyPollTime = 5 * time.Second
-	// maxAsks limits how often peers are asked at the start. Afterwards pings tell their versions.
-	maxAsks = 10
+	defaultWatchersPerDomain = 2
+	// defaultMinPollInterval and defaultPollIntervalPerVM determine the time between polls of an entry VM
+	// without a watch. It grows with the number of entry VMs, so that their total call rate is constant.
+	defaultMinPollInterval   = time.Minute
+	defaultPollIntervalPerVM = 2 * time.Second
+	// roleCheckInterval is how often an entry VM without a watch checks whether it has to start one.
+	roleCheckInterval = 500 * time.Millisecond
+	// minWatchInterval is the minimum time between two watches that returned no change.
+	minWatchInterval = time.Second
+	// emptyPollInterval is the time between polls while there is no table.
+	emptyPollInterval = 5 * time.Second
+	// maxPeerFetches limits the requests to peers after the start. Later, pings report their versions.
+	maxPeerFetches = 10
 )
 
-// Peers is what a Keeper needs of the membership.
+// Peers is the part of the membership that a Cache uses.
 type Peers interface {
 	core.Members
-	// FetchTable returns the highest version that a few other entry VMs have, as Encoded returns it, or
-	// an error if none answered with a table.
+	// FetchTable returns the table with the highest version that a few other entry VMs have, in the form
+	// that Adopt reads, or an error if none of them returned a table.
 	FetchTable(ctx context.Context) ([]byte, error)
-	// Announce spreads the version in force at once.
+	// Announce sends the current version to other entry VMs immediately.
 	Announce()
 }
 
-// CacheConfig sets up a Keeper.
+// CacheConfig configures a Cache.
 type CacheConfig struct {
 	Store core.Store
 	// Key is the table's key in the store, DefaultKey if empty.
 	Key string
-	// Watchers is how many entry VMs of each failure domain hold a watch on the store, 2 if 0. The
-	// others learn of changes from pings.
-	Watchers int
-	// PollBase and PollStep set the time between polls of the other entry VMs: PollBase, but at least
-	// PollStep for each member of the fleet. 1 min and 2 s if 0.
-	PollBase time.Duration
-	PollStep time.Duration
-	// Logger is for changes and failures; nil means none.
+	// WatchersPerDomain is the number of entry VMs in each failure domain that hold a watch on the store,
+	// 2 if 0. The others learn of changes from pings.
+	WatchersPerDomain int
+	// The other entry VMs poll the store every MinPollInterval, but at most once in PollIntervalPerVM
+	// multiplied by the number of live entry VMs, on average. The defaults are 1 min and 2 s.
+	MinPollInterval   time.Duration
+	PollIntervalPerVM time.Duration
+	// Logger receives changes and failures; nil disables logging.
 	Logger log.Logger
 }
 
-// Cache holds the version in force on this entry VM. It implements core.Policies and is the core
-// service "table". Lookups take no lock.
+// Cache holds the current version of the table on this entry VM and keeps it up to date. It implements
+// core.Policies and is the core service "table". Lookups are lock-free.
 type Cache struct {
 	cfg     CacheConfig
-	current atomic.Pointer[inForce]
+	current atomic.Pointer[currentTable]
 
-	// reporting serializes callbacks, so that they see versions that only grow.
-	reporting sync.Mutex
+	// callbackMu serializes callbacks, so that the versions they see never decrease.
+	callbackMu sync.Mutex
 
 	mu        sync.Mutex
 	peers     Peers
@@ -71,8 +71,8 @@
 	lastError string
 }
 
-// inForce is a version in force. It doesn't change.
-type inForce struct {
+// currentTable is the table in force. It is immutable.
+type currentTable struct {
 	record  *record
 	encoded []byte
 	source  string
@@ -85,118 +85,118 @@
 	_ core.Dumper   = (*Cache)(nil)
 )
 
-// NewCache returns a Keeper without a table.
+// NewCache returns a Cache without a table.
 func NewCache(cfg CacheConfig) *Cache {
 	if cfg.Key == "" {
 		cfg.Key = DefaultKey
 	}
-	if cfg.Watchers <= 0 {
-		cfg.Watchers = defaultWatchers
+	if cfg.WatchersPerDomain <= 0 {
+		cfg.WatchersPerDomain = defaultWatchersPerDomain
 	}
-	if cfg.PollBase <= 0 {
-		cfg.PollBase = defaultPollBase
+	if cfg.MinPollInterval <= 0 {
+		cfg.MinPollInterval = defaultMinPollInterval
 	}
-	if cfg.PollStep <= 0 {
-		cfg.PollStep = defaultPollStep
+	if cfg.PollIntervalPerVM <= 0 {
+		cfg.PollIntervalPerVM = defaultPollIntervalPerVM
 	}
 	if cfg.Logger == nil {
 		cfg.Logger = log.NewNopLogger()
 	}
-	k := &Cache{cfg: cfg}
-	k.current.Store(&inForce{record: &record{table: newTable(nil)}})
-	return k
+	c := &Cache{cfg: cfg}
+	c.current.Store(&currentTable{record: &record{table: newTable(nil)}})
+	return c
 }
 
-// SetPeers gives the Keeper the other entry VMs. It must be called before Run. Without it, the Keeper
-// watches the store and asks nobody.
-func (k *Cache) SetPeers(p Peers) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.peers = p
+// SetPeers sets the other entry VMs. It must be called before Run. Without peers, the Cache only watches
+// the store.
+func (c *Cache) SetPeers(p Peers) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.peers = p
 }
 
-// OnChange registers a function that is called after each adoption with the version in force. It
-// must return quickly and must not call Adopt.
-func (k *Cache) OnChange(f func(core.Version)) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.callbacks = append(k.callbacks, f)
+// OnChange registers a function that is called with the current version after each change. It must
+// return quickly and must not call Adopt.
+func (c *Cache) OnChange(f func(core.Version)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.callbacks = append(c.callbacks, f)
 }
 
 // Policy implements core.Policies.
-func (k *Cache) Policy(kind core.Kind) (core.KindPolicy, bool) {
-	return k.current.Load().record.table.Policy(kind)
+func (c *Cache) Policy(kind core.Kind) (core.KindPolicy, bool) {
+	return c.current.Load().record.table.Policy(kind)
 }
 
 // Kinds implements core.Policies.
-func (k *Cache) Kinds() []core.KindPolicy { return k.current.Load().record.table.Kinds() }
+func (c *Cache) Kinds() []core.KindPolicy { return c.current.Load().record.table.Kinds() }
 
-// Version returns the version in force, or 0 without a table.
-func (k *Cache) Version() core.Version { return k.current.Load().record.Version }
+// Version returns the current version, or 0 without a table.
+func (c *Cache) Version() core.Version { return c.current.Load().record.Version }
 
-// Checkout returns the table in force.
-func (k *Cache) Checkout() Checkout {
-	r := k.current.Load().record
+// Checkout returns the current table.
+func (c *Cache) Checkout() Checkout {
+	r := c.current.Load().record
 	return Checkout{Version: r.Version, Edit: r.Edit, Table: r.table}
 }
 
-// Encoded returns the version in force as Adopt reads it, or nil without a table.
-func (k *Cache) Encoded() (core.Version, []byte) {
-	cur := k.current.Load()
+// Encoded returns the current version in the form that Adopt reads, or nil without a table.
+func (c *Cache) Encoded() (core.Version, []byte) {
+	cur := c.current.Load()
 	return cur.record.Version, cur.encoded
 }
 
-// Adopt puts the table into force if its version is higher than the one in force, and returns the
-// version that is in force then. A table that isn't valid is an error.
-func (k *Cache) Adopt(encoded []byte, source string) (core.Version, error) {
+// Adopt replaces the table if the encoded one has a higher version, and returns the version that is
+// current afterwards. It returns an error if the encoded table is invalid.
+func (c *Cache) Adopt(encoded []byte, source string) (core.Version, error) {
 	r, err := decodeRecord(encoded)
 	if err != nil {
-		return k.Version(), err
+		return c.Version(), err
 	}
-	if r.Version <= k.Version() {
-		return k.Version(), nil
+	if r.Version <= c.Version() {
+		return c.Version(), nil
 	}
 	bare := r.withoutHistory()
 	short, err := bare.encode()
 	if err != nil {
-		return k.Version(), err
+		return c.Version(), err
 	}
-	next := &inForce{record: bare, encoded: short, source: source, since: time.Now()}
+	next := &currentTable{record: bare, encoded: short, source: source, since: time.Now()}
 	for {
-		cur := k.current.Load()
+		cur := c.current.Load()
 		if bare.Version <= cur.record.Version {
 			return cur.record.Version, nil
 		}
-		if k.current.CompareAndSwap(cur, next) {
+		if c.current.CompareAndSwap(cur, next) {
 			break
 		}
 	}
-	k.report(bare, source)
-	return k.Version(), nil
+	c.notify(bare, source)
+	return c.Version(), nil
 }
 
-// report tells everybody about a version that was just put into force.
-func (k *Cache) report(r *record, source string) {
-	level.Info(k.cfg.Logger).Log("Msg", "table in force", "Version", r.Version, "Edit", r.Edit, "Rows", len(r.table.Kinds()), "Source", source)
-	k.mu.Lock()
-	callbacks, peers := k.callbacks, k.peers
-	k.mu.Unlock()
-	k.reporting.Lock()
+// notify runs the callbacks and announces a new version to the peers.
+func (c *Cache) notify(r *record, source string) {
+	level.Info(c.cfg.Logger).Log("Msg", "table in force", "Version", r.Version, "Edit", r.Edit, "Rows", len(r.table.Kinds()), "Source", source)
+	c.mu.Lock()
+	callbacks, peers := c.callbacks, c.peers
+	c.mu.Unlock()
+	c.callbackMu.Lock()
 	for _, f := range callbacks {
-		f(k.Version())
+		f(c.Version())
 	}
-	k.reporting.Unlock()
-	// What came from a peer spreads with the ordinary pings; only news from the store is hurried.
+	c.callbackMu.Unlock()
+	// A version from a peer spreads with the regular pings; only one from the store is announced at once.
 	if peers != nil && source == sourceStore {
 		peers.Announce()
 	}
 }
 
 // Name implements core.Service.
-func (k *Cache) Name() string { return "table" }
+func (c *Cache) Name() string { return "table" }
 
-// keeperDump is the state that the admin port shows.
-type keeperDump struct {
+// cacheDump is the state that the admin port shows.
+type cacheDump struct {
 	Version   core.Version
 	Edit      core.EditID
 	Rows      int
@@ -207,12 +207,12 @@
 }
 
 // Dump implements core.Dumper.
-func (k *Cache) Dump() any {
-	cur := k.current.Load()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return keeperDump{
+func (c *Cache) Dump() any {
+	cur := c.current.Load()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return cacheDump{
 		Version: cur.record.Version, Edit: cur.record.Edit, Rows: len(cur.record.table.Kinds()),
-		Source: cur.source, Since: cur.since, Watching: k.watching, LastError: k.lastError,
+		Source: cur.source, Since: cur.since, Watching: c.watching, LastError: c.lastError,
 	}
 }
--- a/core/table/cache_test.go
+++ b/core/table/cache_test.go
@@ -17,34 +17,34 @@
 	"snipewall/stand/kvsim"
 )
 
-// hub is a membership that tests change by hand.
-type hub struct {
-	mu      sync.Mutex
-	alive   []core.VM
-	gen     uint64
-	answer  []byte
-	spreads int
+// fakeMembership is a membership that the test changes.
+type fakeMembership struct {
+	mu            sync.Mutex
+	alive         []core.VM
+	gen           uint64
+	answer        []byte
+	announcements int
 	// afterAlive, if set, runs once after the next call of Alive.
 	afterAlive func()
 }
 
-func (h *hub) remove(id core.VMID) {
+func (h *fakeMembership) remove(id core.VMID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.alive = slices.DeleteFunc(slices.Clone(h.alive), func(vm core.VM) bool { return vm.ID == id })
 	h.gen++
 }
 
-// hubPeers is the hub as one member sees it.
-type hubPeers struct {
+// fakePeers is the membership as one entry VM sees it.
+type fakePeers struct {
 	core.Members
-	*hub
+	*fakeMembership
 	self core.VM
 }
 
-func (p hubPeers) Self() core.VM { return p.self }
+func (p fakePeers) Self() core.VM { return p.self }
 
-func (p hubPeers) Alive() []core.VM {
+func (p fakePeers) Alive() []core.VM {
 	p.mu.Lock()
 	alive, after := p.alive, p.afterAlive
 	p.afterAlive = nil
@@ -55,13 +55,13 @@
 	return alive
 }
 
-func (p hubPeers) Generation() uint64 {
+func (p fakePeers) Generation() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.gen
 }
 
-func (p hubPeers) FetchTable(context.Context) ([]byte, error) {
+func (p fakePeers) FetchTable(context.Context) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.answer == nil {
@@ -70,48 +70,48 @@
 	return p.answer, nil
 }
 
-func (p hubPeers) Announce() {
+func (p fakePeers) Announce() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.spreads++
+	p.announcements++
 }
 
-// keepers is a fleet of Keepers on one platform.
-type keepers struct {
+// cacheFleet is the Caches of several entry VMs with one platform.
+type cacheFleet struct {
 	platform
-	hub  *hub
-	list []*Cache
-	stop map[*Cache]func()
+	membership *fakeMembership
+	list       []*Cache
+	stop       map[*Cache]func()
 }
 
-func newKeepers(t *testing.T, p platform, size int) *keepers {
-	f := &keepers{platform: p, hub: &hub{}, stop: map[*Cache]func(){}}
+func newCacheFleet(t *testing.T, p platform, size int) *cacheFleet {
+	f := &cacheFleet{platform: p, membership: &fakeMembership{}, stop: map[*Cache]func(){}}
 	for i := range size {
-		f.hub.alive = append(f.hub.alive, core.VM{
+		f.membership.alive = append(f.membership.alive, core.VM{
 			ID: core.VMID(fmt.Sprintf("vm-%03d", i)), FailureDomain: core.FailureDomain(fmt.Sprint(i % 4)),
 		})
 	}
-	for _, vm := range f.hub.alive {
-		k := NewCache(CacheConfig{Store: p.store})
-		k.SetPeers(hubPeers{hub: f.hub, self: vm})
+	for _, vm := range f.membership.alive {
+		c := NewCache(CacheConfig{Store: p.store})
+		c.SetPeers(fakePeers{fakeMembership: f.membership, self: vm})
 		ctx, cancel := context.WithCancel(context.Background())
 		end := make(chan error, 1)
-		go func() { end <- k.Run(ctx) }()
-		f.list = append(f.list, k)
-		f.stop[k] = sync.OnceFunc(func() {
+		go func() { end <- c.Run(ctx) }()
+		f.list = append(f.list, c)
+		f.stop[c] = sync.OnceFunc(func() {
 			cancel()
 			assert.Check(t, <-end)
 		})
-		t.Cleanup(f.stop[k])
+		t.Cleanup(f.stop[c])
 	}
 	return f
 }
 
-// count returns how many keepers have the version in force.
-func (f *keepers) count(v core.Version) int {
+// count returns the number of Caches that have the version.
+func (f *cacheFleet) count(v core.Version) int {
 	n := 0
-	for _, k := range f.list {
-		if k.Version() == v {
+	for _, c := range f.list {
+		if c.Version() == v {
 			n++
 		}
 	}
@@ -124,9 +124,9 @@
 	return value
 }
 
-// Guards against an entry VM that has no table as long as the platform is down, and against one that
-// doesn't notice that the platform is back.
-func TestKeeperStartsDuringOutage(t *testing.T) {
+// Guards against an entry VM that gets no table while the platform is down, or doesn't notice that the
+// platform is up again.
+func TestCacheStartsDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform(t)
 		for base, text := range []string{startTable, quote2} {
@@ -134,12 +134,12 @@
 			assert.NilError(t, err)
 		}
 		assert.NilError(t, p.SetFault(kvsim.FaultDown, "true"))
-		f := newKeepers(t, p, 1)
+		f := newCacheFleet(t, p, 1)
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, f.count(0), 1)
-		f.hub.mu.Lock()
-		f.hub.answer = encodedTable(t, 1, startTable)
-		f.hub.mu.Unlock()
+		f.membership.mu.Lock()
+		f.membership.answer = encodedTable(t, 1, startTable)
+		f.membership.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, f.count(1), 1)
 		row, ok := f.list[0].Policy("quote")
@@ -151,17 +151,17 @@
 	})
 }
 
-// Guards against calls to the store that grow with the fleet, and against a change that is not seen
-// since the watchers have gone.
-func TestKeeperWatchers(t *testing.T) {
+// Guards against a rate of store calls that grows with the number of entry VMs, and against a missed
+// change after the watching entry VMs have gone.
+func TestCacheWatchers(t *testing.T) {
 	for _, size := range []int{8, 64, 520} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := newPlatform(t)
 				_, err := p.editor().Apply(t.Context(), Edit{ID: "1", Table: mustParse(t, startTable)})
 				assert.NilError(t, err)
-				f := newKeepers(t, p, size)
-				// Not a multiple of the watches' 30 s, at which each is between two calls.
+				f := newCacheFleet(t, p, size)
+				// Not a multiple of the 30 s duration of a watch, at which each watch is between two calls.
 				time.Sleep(70 * time.Second)
 				assert.Equal(t, f.count(1), size)
 				assert.Equal(t, p.Calls().Waiting, 8)
@@ -176,72 +176,72 @@
 				if size == 8 {
 					return
 				}
-				for i, k := range slices.Clone(f.list) {
-					if k.Dump().(keeperDump).Watching {
-						f.hub.remove(core.VMID(fmt.Sprintf("vm-%03d", i)))
-						f.stop[k]()
-						f.list = slices.DeleteFunc(f.list, func(other *Cache) bool { return other == k })
+				for i, c := range slices.Clone(f.list) {
+					if c.Dump().(cacheDump).Watching {
+						f.membership.remove(core.VMID(fmt.Sprintf("vm-%03d", i)))
+						f.stop[c]()
+						f.list = slices.DeleteFunc(f.list, func(other *Cache) bool { return other == c })
 					}
 				}
 				time.Sleep(time.Second)
 				_, err = p.editor().Apply(t.Context(), Edit{ID: "2", Base: 1, Table: mustParse(t, quote2)})
 				assert.NilError(t, err)
 				time.Sleep(100 * time.Millisecond)
-				// An entry VM without a watch may learn of the change by its slow poll at this moment.
+				// An entry VM without a watch may have learned of the change by a regular poll.
 				watching := 0
-				for _, k := range f.list {
-					if k.Dump().(keeperDump).Watching {
-						assert.Equal(t, k.Version(), core.Version(2))
+				for _, c := range f.list {
+					if c.Dump().(cacheDump).Watching {
+						assert.Equal(t, c.Version(), core.Version(2))
 						watching++
 					}
 				}
 				assert.Equal(t, watching, 8)
-				f.hub.mu.Lock()
-				defer f.hub.mu.Unlock()
-				assert.Equal(t, f.hub.spreads, size+f.count(2))
+				f.membership.mu.Lock()
+				defer f.membership.mu.Unlock()
+				assert.Equal(t, f.membership.announcements, size+f.count(2))
 			})
 		})
 	}
 }
 
-// Guards against a watch that nobody takes over, since the watchers went away between the check of
-// the membership and the wait for its next change.
-func TestKeeperSeesChangeDuringCheck(t *testing.T) {
+// Guards against a watch that no entry VM takes over because the watchers left between the check of the
+// membership and the wait for its next change.
+func TestCacheSeesChangeDuringCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &keepers{platform: newPlatform(t), hub: &hub{}}
+		f := &cacheFleet{platform: newPlatform(t), membership: &fakeMembership{}}
 		for _, id := range []core.VMID{"a", "b", "c"} {
-			f.hub.alive = append(f.hub.alive, core.VM{ID: id})
+			f.membership.alive = append(f.membership.alive, core.VM{ID: id})
 		}
-		for _, vm := range slices.Clone(f.hub.alive) {
-			f.hub.afterAlive = func() {
+		for _, vm := range slices.Clone(f.membership.alive) {
+			f.membership.afterAlive = func() {
 				for _, other := range []core.VMID{"a", "b", "c"} {
 					if other != vm.ID {
-						f.hub.remove(other)
+						f.membership.remove(other)
 					}
 				}
 			}
-			k := NewCache(CacheConfig{Store: f.store})
-			k.SetPeers(hubPeers{hub: f.hub, self: vm})
+			c := NewCache(CacheConfig{Store: f.store})
+			c.SetPeers(fakePeers{fakeMembership: f.membership, self: vm})
 			ctx, cancel := context.WithCancel(t.Context())
 			end := make(chan error, 1)
-			go func() { end <- k.Run(ctx) }()
+			go func() { end <- c.Run(ctx) }()
 			time.Sleep(2 * time.Second)
-			assert.Check(t, k.Dump().(keeperDump).Watching, "%s doesn't watch", vm.ID)
+			assert.Check(t, c.Dump().(cacheDump).Watching, "%s doesn't watch", vm.ID)
 			cancel()
 			assert.NilError(t, <-end)
-			f.hub.alive = []core.VM{{ID: "a"}, {ID: "b"}, {ID: "c"}}
+			f.membership.alive = []core.VM{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 		}
 	})
 }
 
-// Guards against a version that goes back, in any order of arrival and from any source, and against
-// callbacks that show it.
-func TestKeeperVersionNeverGoesBack(t *testing.T) {
+// Guards against a version that decreases, for any order and source of arrival, and against callbacks
+// that see it decrease.
+func TestCacheVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		k := NewCache(CacheConfig{})
+		c := NewCache(CacheConfig{})
 		var mu sync.Mutex
 		var seen []core.Version
-		k.OnChange(func(v core.Version) {
+		c.OnChange(func(v core.Version) {
 			mu.Lock()
 			defer mu.Unlock()
 			seen = append(seen, v)
@@ -250,7 +250,7 @@
 		var adopters sync.WaitGroup
 		for i, v := range versions {
 			adopt := func() {
-				inForce, err := k.Adopt(encodedTable(t, core.Version(v), startTable), "test")
+				inForce, err := c.Adopt(encodedTable(t, core.Version(v), startTable), "test")
 				assert.Check(t, err)
 				assert.Check(t, inForce >= core.Version(v))
 			}
@@ -261,56 +261,56 @@
 			adopt()
 		}
 		adopters.Wait()
-		assert.Equal(rt, k.Version(), core.Version(slices.Max(versions)))
+		assert.Equal(rt, c.Version(), core.Version(slices.Max(versions)))
 		assert.Assert(rt, slices.IsSorted(seen), "callbacks saw %v", seen)
 	})
 }
 
-// Guards against a broken value, a lost entry or a lagging place that puts the table out of force.
-func TestKeeperKeepsTable(t *testing.T) {
+// Guards against losing the current table because of an invalid value, a deleted entry or a stale read.
+func TestCacheKeepsTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform(t)
 		ed := p.editor()
 		_, err := ed.Apply(t.Context(), Edit{ID: "1", Table: mustParse(t, startTable)})
 		assert.NilError(t, err)
-		f := newKeepers(t, p, 1)
-		k := f.list[0]
+		f := newCacheFleet(t, p, 1)
+		c := f.list[0]
 		time.Sleep(time.Second)
 		entry, err := p.store.Get(t.Context(), DefaultKey)
 		assert.NilError(t, err)
 		v, err := p.store.CompareAndSwap(t.Context(), DefaultKey, []byte(`{"Version":9,"Table":"Kind,Rank\nquote,high\n"}`), entry.Version, "")
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
-		assert.Equal(t, k.Version(), core.Version(1))
-		assert.Assert(t, k.Dump().(keeperDump).LastError != "")
+		assert.Equal(t, c.Version(), core.Version(1))
+		assert.Assert(t, c.Dump().(cacheDump).LastError != "")
 		_, err = ed.Apply(t.Context(), Edit{ID: "2", Base: 1, Table: mustParse(t, quote2)})
 		assert.ErrorContains(t, err, `"high" is not accepted`)
 
 		_, err = p.store.CompareAndSwap(t.Context(), DefaultKey, encodedTable(t, 10, quote2), v, "")
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
-		assert.Equal(t, k.Version(), core.Version(10))
-		assert.Equal(t, k.Dump().(keeperDump).LastError, "")
+		assert.Equal(t, c.Version(), core.Version(10))
+		assert.Equal(t, c.Dump().(cacheDump).LastError, "")
 		assert.NilError(t, p.SetFault(kvsim.FaultStale, "1m30s"))
 		time.Sleep(10 * time.Minute)
-		assert.Equal(t, k.Version(), core.Version(10))
-		encoded, short := k.Encoded()
+		assert.Equal(t, c.Version(), core.Version(10))
+		encoded, short := c.Encoded()
 		assert.Equal(t, encoded, core.Version(10))
 		again := NewCache(CacheConfig{})
 		_, err = again.Adopt(short, "peer")
 		assert.NilError(t, err)
-		assert.Assert(t, again.Checkout().Table.Equal(k.Checkout().Table))
+		assert.Assert(t, again.Checkout().Table.Equal(c.Checkout().Table))
 	})
 }
 
 func BenchmarkPolicy(b *testing.B) {
-	k := NewCache(CacheConfig{})
-	_, err := k.Adopt(encodedTable(b, 1, startTable), "test")
+	c := NewCache(CacheConfig{})
+	_, err := c.Adopt(encodedTable(b, 1, startTable), "test")
 	assert.NilError(b, err)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			k.Policy("quote")
+			c.Policy("quote")
 		}
 	})
 }
--- a/core/table/checkout.go
+++ b/core/table/checkout.go
@@ -11,24 +11,24 @@
 	"snipewall/core"
 )
 
-// Checkout is a table and the version that it was read at.
+// Checkout is a table and the version at which it was read.
 type Checkout struct {
 	Version core.Version
 	Edit    core.EditID
 	Table   *Table
 }
 
-// versionLine is the comment that carries the version in a checkout's file.
+// versionLine matches the comment with the version in the file of a checkout.
 var versionLine = regexp.MustCompile(`(?m)^# Version: ([0-9]+)[ \t]*\r?$`)
 
-// File returns the checkout as an operator edits it: CSV, with the version in a comment, so that an
-// edit names the version that it is based on.
+// File returns the checkout in the form that an operator edits: CSV, with the version in a comment, so
+// that an edit names the version on which it is based.
 func (c Checkout) File() []byte {
 	return append(fmt.Appendf(nil, "# Version: %d\n", c.Version), c.Table.CSV()...)
 }
 
-// ParseCheckout reads a file that File returned, possibly changed. It returns false as the second
-// result if the file doesn't name a version.
+// ParseCheckout parses the output of File, possibly edited. It returns false if the file doesn't name a
+// version.
 func ParseCheckout(data []byte) (Checkout, bool, error) {
 	t, err := Parse(data)
 	if err != nil {
--- a/core/table/column.go
+++ b/core/table/column.go
@@ -36,15 +36,15 @@
 // column describes one column of the table.
 type column struct {
 	name string
-	// accept tells an operator what the column accepts.
+	// accept describes the accepted values to an operator.
 	accept string
-	// parse sets the column from a cell that is not empty and returns false if it isn't accepted.
+	// parse sets the column from a non-empty cell. It returns false if the value isn't accepted.
 	parse func(cell string, row *core.KindPolicy) bool
-	// format returns the canonical cell.
+	// format returns the value in canonical form.
 	format func(row core.KindPolicy) string
 }
 
-// columns lists all columns in canonical order. The first one is the key.
+// columns lists all columns in canonical order. The first one is the key of a row.
 var columns = []column{
 	{
 		name:   "Kind",
@@ -71,7 +71,7 @@
 		accept: fmt.Sprintf("%g to %d per second, or 0 for no limit", minRate, int(maxRate)),
 		parse: func(cell string, row *core.KindPolicy) bool {
 			rate, err := strconv.ParseFloat(cell, 64)
-			// Adding 0 turns -0 into 0, which has one canonical form.
+			// Adding 0 turns -0 into 0, so that the value has one canonical form.
 			row.Rate = rate + 0
 			return err == nil && (rate == 0 || rate >= minRate && rate <= maxRate)
 		},
@@ -117,7 +117,7 @@
 	}
 }
 
-// defaultRow returns the row of which all cells are empty.
+// defaultRow returns the row for empty cells.
 func defaultRow() core.KindPolicy {
 	return core.KindPolicy{
 		Rank:      defaultRank,
--- a/core/table/diff.go
+++ b/core/table/diff.go
@@ -7,7 +7,7 @@
 	"snipewall/core"
 )
 
-// Change is the change of one row. Before is nil for a new row and After for a removed one.
+// Change is the change of one row. Before is nil for an added row and After for a removed one.
 type Change struct {
 	Kind   core.Kind
 	Before *core.KindPolicy
@@ -46,7 +46,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// Changes lists changes, sorted by kind.
+// Changes is a list of changes, sorted by kind.
 type Changes []Change
 
 // String describes each change on its own line.
@@ -66,7 +66,7 @@
 	return &c[i]
 }
 
-// Diff returns the changes that turn a into b. A nil table is empty.
+// Diff returns the changes that turn a into b. A nil table has no rows.
 func Diff(a, b *Table) Changes {
 	var list Changes
 	old, next := a.Kinds(), b.Kinds()
--- a/core/table/doc.go
+++ b/core/table/doc.go
@@ -1,9 +1,9 @@
-// Package table holds the operators' table, which gives each kind of work its rank, limits and
-// times. It parses and validates the table as a whole, compares and merges versions, changes the
-// table in the platform's store, and keeps the version in force on an entry VM.
+// Package table implements the operators' table, which gives each kind of work its rank, limits and
+// times. It parses and validates the table as a whole, compares and merges versions, edits the table in
+// the platform's store, and caches the current version on an entry VM.
 //
-// The table is CSV with a header and one row per kind. Columns may be in any order, and all but Kind
-// may be left out. An empty cell, or a column that is left out, has the default:
+// The table is CSV with a header and one row per kind. Columns may be in any order, and all but Kind may
+// be omitted. An empty cell or an omitted column has the default:
 //
 //	Column       Accepted                        Default
 //	Kind         1 to 64 of a-z A-Z 0-9 . _ -    none, required
@@ -16,26 +16,27 @@
 //	Idempotent   true, false                     false
 //	Deadline     10ms to 1h                      10s
 //
-// QueueTime may not be above Deadline. A table has at most 2000 rows and 256 KiB. The canonical form
-// has all columns in the order above, all cells filled, and rows sorted by kind.
+// QueueTime must not be greater than Deadline. A table has at most 2000 rows and 256 KiB. The canonical
+// form has all columns in the order above, all cells filled, and rows sorted by kind.
 //
-// Versions are counted by the table itself: each accepted edit has the version of its predecessor
-// plus one, which the store's compare-and-swap makes unique. The stored value also holds the last
-// edits with the rows that they changed, so that a lost answer can be resolved by edit id, and the
-// table on which an older edit was based can be restored for a merge.
+// Versions are counted in the table itself: each accepted edit has the version of its predecessor plus
+// one, and the store's compare-and-swap ensures that no version is used twice. The stored value also
+// contains the most recent edits with the rows that they changed. With these, an edit whose answer was
+// lost can be found by its id, and the table on which an older edit was based can be restored for a
+// merge.
 //
 // # Usage
 //
-// An operator's command reads a checkout, and later applies it:
+// An operator's command reads a checkout and later applies the edited table:
 //
 //	ed := table.NewEditor(table.EditorConfig{Store: s})
 //	checkout, err := ed.Read(ctx)
 //	...
 //	applied, err := ed.Apply(ctx, table.Edit{ID: id, Base: checkout.Version, Table: changed})
 //
-// An entry VM keeps the version in force:
+// An entry VM caches the current version:
 //
-//	keeper := table.NewKeeper(table.KeeperConfig{Store: s})
-//	members := peers.New(peers.Config{Table: keeper})
-//	keeper.Join(members)
+//	cache := table.NewCache(table.CacheConfig{Store: s})
+//	members := peers.New(peers.Config{Table: cache})
+//	cache.SetPeers(members)
 package table
--- a/core/table/editor.go
+++ b/core/table/editor.go
@@ -19,28 +19,28 @@
 	defaultTimeout  = 20 * time.Second
 )
 
-// EditorConfig sets up an Editor.
+// EditorConfig configures an Editor.
 type EditorConfig struct {
 	Store core.Store
 	// Key is the table's key in the store, DefaultKey if empty.
 	Key string
-	// Attempts limits the tries of one edit, 6 if 0.
+	// Attempts limits the attempts for one edit, 6 if 0.
 	Attempts int
-	// Backoff is the wait after the first failed try, 100 ms if 0. It doubles up to 2 s.
+	// Backoff is the wait after the first failed attempt, 100 ms if 0. It doubles up to 2 s.
 	Backoff time.Duration
-	// Timeout limits one edit as a whole, 20 s if 0.
+	// Timeout limits one edit with all its attempts, 20 s if 0.
 	Timeout time.Duration
-	// Known returns a version that entry VMs have in force, or 0. If the store lost the table, the next
-	// version is above it, since entry VMs adopt only higher versions. It may be nil.
-	Known func() core.Version
+	// KnownVersion returns a version that entry VMs have, or 0. If the store lost the table, the next
+	// version is higher than this one, since entry VMs adopt only higher versions. It may be nil.
+	KnownVersion func() core.Version
 }
 
-// Editor changes the table in the platform's store. It is safe for concurrent use.
+// Editor edits the table in the platform's store. It is safe for concurrent use.
 type Editor struct {
 	cfg EditorConfig
 }
 
-// NewEditor returns an Editor. It makes no call.
+// NewEditor returns an Editor. It doesn't access the store.
 func NewEditor(cfg EditorConfig) *Editor {
 	if cfg.Key == "" {
 		cfg.Key = DefaultKey
@@ -54,8 +54,8 @@
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = defaultTimeout
 	}
-	if cfg.Known == nil {
-		cfg.Known = func() core.Version { return 0 }
+	if cfg.KnownVersion == nil {
+		cfg.KnownVersion = func() core.Version { return 0 }
 	}
 	return &Editor{cfg: cfg}
 }
@@ -65,18 +65,17 @@
 
 // Applied is the result of an edit.
 type Applied struct {
-	// Version is the version in which the edit is contained.
+	// Version is the version that contains the edit.
 	Version core.Version
 	Changes Changes
-	// Merged tells that the edit was merged with later edits of other rows.
+	// Merged is set if the edit was merged with later edits of other rows.
 	Merged bool
-	// Unchanged tells that the table in force already was as the edit asks, so that nothing was
-	// written.
+	// Unchanged is set if the table already was as the edit requires, so that nothing was written.
 	Unchanged bool
 }
 
-// OutcomeError says that the store didn't answer in time, so that the edit may or may not be in
-// force. Applying the edit again with the same id is safe.
+// OutcomeError reports that the store didn't answer in time, so that the edit may or may not have taken
+// effect. It is safe to apply the edit again with the same id.
 type OutcomeError struct {
 	Edit core.EditID
 	Err  error
@@ -86,10 +85,10 @@
 	return fmt.Sprintf("outcome unknown: edit %q may or may not be in force, apply it again with the same id: %v", e.Edit, e.Err)
 }
 
-// Unwrap returns the last error of the store.
+// Unwrap returns the store's last error.
 func (e *OutcomeError) Unwrap() error { return e.Err }
 
-// Read returns the table in the store. A store without a table gives version 0.
+// Read returns the table in the store. If there is none, the version is 0.
 func (e *Editor) Read(ctx context.Context) (Checkout, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.Timeout)
 	defer cancel()
@@ -100,7 +99,7 @@
 	return Checkout{Version: cur.Version, Edit: cur.Edit, Table: cur.table}, nil
 }
 
-// Plan returns what Apply would do now, without a write.
+// Plan returns what Apply would do now, without writing.
 func (e *Editor) Plan(ctx context.Context, edit Edit) (Applied, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.Timeout)
 	defer cancel()
@@ -119,7 +118,8 @@
 	return Applied{Version: version, Changes: p.changes, Merged: p.merged, Unchanged: len(p.changes) == 0}
 }
 
-// load reads the record and the version of its entry. Without an entry, both are empty.
+// load reads the record and the version of its entry. Without an entry, the record is empty and the
+// version 0.
 func (e *Editor) load(ctx context.Context) (*record, core.Version, error) {
 	entry, err := e.cfg.Store.Get(ctx, e.cfg.Key)
 	if errors.Is(err, core.ErrNotFound) {
@@ -132,8 +132,8 @@
 	return cur, entry.Version, err
 }
 
-// Apply writes the edit with compare-and-swap. Errors are *ConflictError, *OutcomeError, or any
-// other error if the edit is certainly not in force.
+// Apply writes the edit with compare-and-swap. After *OutcomeError the edit may have taken effect; after
+// *ConflictError or any other error it certainly has not.
 func (e *Editor) Apply(ctx context.Context, edit Edit) (Applied, error) {
 	if edit.ID == "" || edit.Table == nil {
 		return Applied{}, core.ErrTable.New("not applied: an edit needs an id and a table")
@@ -142,58 +142,58 @@
 	defer cancel()
 	a := attempt{editor: e, edit: edit}
 	for n := range e.cfg.Attempts {
-		if n > 0 && !pause(ctx, e.cfg.Backoff<<(n-1)) {
+		if n > 0 && !sleepWithJitter(ctx, e.cfg.Backoff<<(n-1)) {
 			break
 		}
 		applied, done, err := a.try(ctx)
 		if done {
 			return applied, err
 		}
-		a.last = err
+		a.lastErr = err
 	}
-	if a.sent != nil {
-		return Applied{}, core.ErrTable.Wrap(&OutcomeError{Edit: edit.ID, Err: a.last})
+	if a.uncertain != nil {
+		return Applied{}, core.ErrTable.Wrap(&OutcomeError{Edit: edit.ID, Err: a.lastErr})
 	}
-	return Applied{}, fmt.Errorf("not applied after %d tries: %w", e.cfg.Attempts, a.last)
+	return Applied{}, fmt.Errorf("not applied after %d tries: %w", e.cfg.Attempts, a.lastErr)
 }
 
-// attempt is the state of one edit over its tries.
+// attempt is the state of one edit over its attempts.
 type attempt struct {
 	editor *Editor
 	edit   Edit
-	// seen is a lower limit of the entry's version; a read below it comes from a place that lags.
-	seen core.Version
-	// sent is the record whose write may have taken effect, or nil.
-	sent *record
-	last error
+	// minEntryVersion is a lower bound of the entry's version; a read below it is stale.
+	minEntryVersion core.Version
+	// uncertain is the record of a write that may have taken effect, or nil.
+	uncertain *record
+	lastErr   error
 }
 
-// errStale says that a read returned an older version than the store holds.
-var errStale = errors.New("the store answered with an old version")
+// errStaleRead means that a read returned an older version than the store is known to have.
+var errStaleRead = errors.New("the store answered with an old version")
 
-// try reads the record, and writes the edit if it isn't there yet. It returns false if another try
-// may succeed.
+// try reads the record, and writes the edit if the record doesn't contain it yet. It returns false if
+// another attempt may succeed.
 func (a *attempt) try(ctx context.Context) (Applied, bool, error) {
 	cur, version, err := a.editor.load(ctx)
 	if err != nil {
-		// A record that can't be read stays so until somebody repairs it.
+		// An invalid record stays invalid until it is repaired, so a retry is useless.
 		var broken *InvalidError
-		return Applied{}, errors.As(err, &broken) && a.sent == nil, err
+		return Applied{}, errors.As(err, &broken) && a.uncertain == nil, err
 	}
-	if version < a.seen {
-		return Applied{}, false, errStale
+	if version < a.minEntryVersion {
+		return Applied{}, false, errStaleRead
 	}
-	a.seen = version
-	if v := cur.find(a.edit.ID); v > 0 {
+	a.minEntryVersion = version
+	if v := cur.versionOfEdit(a.edit.ID); v > 0 {
 		return Applied{Version: v, Merged: v > a.edit.Base+1, Changes: a.changes(cur, v)}, true, nil
 	}
-	if a.sent != nil && cur.Version >= a.sent.Version && !cur.remembers(a.sent.Version-1) {
-		err := &OutcomeError{Edit: a.edit.ID, Err: errForgotten}
+	if a.uncertain != nil && cur.Version >= a.uncertain.Version && !cur.hasHistorySince(a.uncertain.Version-1) {
+		err := &OutcomeError{Edit: a.edit.ID, Err: errHistoryTruncated}
 		return Applied{}, true, core.ErrTable.Wrap(err)
 	}
 	p, err := planEdit(cur, a.edit)
 	if err != nil {
-		// A base above the version in force can be due to a read from a place that lags.
+		// If the base is higher than the current version, the read may have been stale.
 		return Applied{}, a.edit.Base <= cur.Version, err
 	}
 	if len(p.changes) == 0 {
@@ -202,13 +202,13 @@
 	return a.write(ctx, cur, version, p)
 }
 
-// changes returns what the edit changed, as far as the history tells.
+// changes returns the changes made by the edit, or nil if the history doesn't contain them.
 func (a *attempt) changes(cur *record, version core.Version) Changes {
-	before, _, err := cur.base(version - 1)
+	before, _, err := cur.restore(version - 1)
 	if err != nil {
 		return nil
 	}
-	after, _, err := cur.base(version)
+	after, _, err := cur.restore(version)
 	if err != nil {
 		return nil
 	}
@@ -216,7 +216,7 @@
 }
 
 func (a *attempt) write(ctx context.Context, cur *record, version core.Version, p plan) (Applied, bool, error) {
-	next := cur.next(max(cur.Version, a.floor(cur))+1, a.edit.ID, p.table)
+	next := cur.next(max(cur.Version, a.knownVersion(cur))+1, a.edit.ID, p.table)
 	value, err := next.encode()
 	if err != nil {
 		return Applied{}, true, err
@@ -226,24 +226,24 @@
 		return p.result(next.Version), true, nil
 	}
 	if errors.Is(err, core.ErrVersionConflict) {
-		// The entry is above the version that was read. The next read has to show that.
-		a.seen = max(a.seen, version+1)
+		// The entry's version is higher than the one that was read. The next read must not be older.
+		a.minEntryVersion = max(a.minEntryVersion, version+1)
 		return Applied{}, false, err
 	}
-	a.sent = next
+	a.uncertain = next
 	return Applied{}, false, err
 }
 
-// floor returns the version above which the next one must be.
-func (a *attempt) floor(cur *record) core.Version {
+// knownVersion returns the version that the next one must exceed.
+func (a *attempt) knownVersion(cur *record) core.Version {
 	if cur.Version > 0 {
 		return 0
 	}
-	return a.editor.cfg.Known()
+	return a.editor.cfg.KnownVersion()
 }
 
-// pause waits for about d, up to a limit, and returns false if ctx ends before.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleepWithJitter waits for about d, but at most about maxBackoff. It returns false if ctx ends first.
+func sleepWithJitter(ctx context.Context, d time.Duration) bool {
 	if d <= 0 || d > maxBackoff {
 		d = maxBackoff
 	}
--- a/core/table/editor_test.go
+++ b/core/table/editor_test.go
@@ -18,7 +18,7 @@
 	"snipewall/stand/kvsim"
 )
 
-// platform is a simulated platform with a client, on the clock of the test.
+// platform is a simulated platform and its client, on the clock of the test.
 type platform struct {
 	*kvsim.Server
 	store *store.Store
@@ -47,8 +47,8 @@
 	bothTwo    = "Kind,Weight\nquote,2\nreseal,2\nwarranty,1\n"
 )
 
-// Guards against lost or reverted edits when two operators edit at once, or when an operator applies
-// an old checkout again.
+// Guards against lost or reverted edits when two operators edit at the same time, or when an operator
+// applies an old checkout again.
 func TestEditConflicts(t *testing.T) {
 	type step struct {
 		text  string
@@ -106,7 +106,7 @@
 	}
 }
 
-// Guards against an edit that is applied twice, or reported as failed, after its answer was lost.
+// Guards against an edit that is applied twice, or reported as failed, because its answer was lost.
 func TestEditLostAnswer(t *testing.T) {
 	for _, stale := range []string{"0", "1s"} {
 		synctest.Test(t, func(t *testing.T) {
@@ -127,7 +127,7 @@
 	}
 }
 
-// Guards against an error that calls an edit failed although it may be in force, and the reverse.
+// Guards against an edit that is reported as failed although it may have taken effect, and the reverse.
 func TestEditOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform(t)
@@ -151,19 +151,19 @@
 	})
 }
 
-// Guards against a table that nodes ignore since its versions start anew after the store lost it.
+// Guards against a table that entry VMs ignore because its versions restart after the store lost it.
 func TestEditAfterStoreLostTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform(t)
-		ed := NewEditor(EditorConfig{Store: p.store, Known: func() core.Version { return 41 }})
+		ed := NewEditor(EditorConfig{Store: p.store, KnownVersion: func() core.Version { return 41 }})
 		got, err := ed.Apply(t.Context(), Edit{ID: "start", Table: mustParse(t, startTable)})
 		assert.NilError(t, err)
 		assert.Equal(t, got.Version, core.Version(42))
 	})
 }
 
-// Guards against a history that grows beyond the store's limit, and against a merge with a base that
-// is not known anymore.
+// Guards against a history that exceeds the store's size limit, and against a merge with a base that the
+// history no longer contains.
 func TestHistoryIsBounded(t *testing.T) {
 	rows := manyRows(MaxRows)
 	cur := &record{}
@@ -179,11 +179,11 @@
 	}
 	_, err := planEdit(cur, Edit{ID: "x", Base: 2, Table: cur.table, Merge: true})
 	assert.ErrorContains(t, err, "too old to restore")
-	assert.Equal(t, cur.find("99"), core.Version(99))
+	assert.Equal(t, cur.versionOfEdit("99"), core.Version(99))
 }
 
-// Guards against outcomes that are reported wrongly under any mix of operators, lost answers, stale
-// reads and outages: an edit is applied at most once, and what was accepted stays.
+// Guards against wrongly reported outcomes under any mix of operators, lost answers, stale reads and
+// outages: an edit is applied at most once, and an accepted edit is not lost.
 func TestEditorsInterleaved(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.SampledFrom([]string{"lost", "stale", "down", "up", "fresh", "wait"}), 5, 30).Draw(rt, "faults")
@@ -195,10 +195,10 @@
 			assert.NilError(t, err)
 			results := make(chan map[core.EditID]error, operators)
 			for op := range operators {
-				go func() { results <- operate(t, p, op) }()
+				go func() { results <- runOperator(t, p, op) }()
 			}
 			for _, fault := range script {
-				play(t, p, fault)
+				injectFault(t, p, fault)
 				time.Sleep(700 * time.Millisecond)
 			}
 			for _, fault := range []string{kvsim.FaultDown, kvsim.FaultLost, kvsim.FaultStale} {
@@ -215,7 +215,7 @@
 	})
 }
 
-func play(t *testing.T, p platform, fault string) {
+func injectFault(t *testing.T, p platform, fault string) {
 	steps := map[string][2]string{
 		"lost": {kvsim.FaultLost, "1"}, "stale": {kvsim.FaultStale, "2s"}, "fresh": {kvsim.FaultStale, "0"},
 		"down": {kvsim.FaultDown, "true"}, "up": {kvsim.FaultDown, "false"},
@@ -225,8 +225,8 @@
 	}
 }
 
-// operate applies edits that each add one row named after the edit.
-func operate(t *testing.T, p platform, op int) map[core.EditID]error {
+// runOperator applies edits, each of which adds one row named after the edit.
+func runOperator(t *testing.T, p platform, op int) map[core.EditID]error {
 	results := map[core.EditID]error{}
 	for n := range 5 {
 		id := core.EditID(fmt.Sprintf("op%d-%d", op, n))
--- a/core/table/merge.go
+++ b/core/table/merge.go
@@ -9,24 +9,24 @@
 
 // Edit is an operator's change: the whole new table, and the version on which it is based.
 type Edit struct {
-	// ID identifies the edit over repetitions. It must be new for each edit.
+	// ID identifies the edit when it is applied again. Each edit needs a new one.
 	ID core.EditID
-	// Base is the version that the operator changed, 0 for the first table.
+	// Base is the version that the operator edited, 0 for the first table.
 	Base  core.Version
 	Table *Table
-	// Merge applies the edit on top of later edits if they touched other rows.
+	// Merge permits to apply the edit on top of later edits of other rows.
 	Merge bool
 }
 
-// ConflictRow is a row that somebody else changed since the edit's base version.
+// ConflictRow is a row that was changed by another edit since the base version.
 type ConflictRow struct {
 	Kind core.Kind
-	// Base, Current and Edited are the row in the base version, in force and in the edit, or nil
-	// without such a row. Base is also nil if the base version can't be restored.
+	// Base, Current and Edited are the row in the base version, in the current version and in the edit, or
+	// nil if there is no such row. Base is also nil if the base version can't be restored.
 	Base    *core.KindPolicy
 	Current *core.KindPolicy
 	Edited  *core.KindPolicy
-	// Both tells that the edit changes the row too, so that a merge can't resolve it.
+	// Both is set if the edit changes the row too, so that a merge can't resolve the conflict.
 	Both bool
 }
 
@@ -35,11 +35,11 @@
 	return fmt.Sprintf("in force %q, in the edit %q", Change{Kind: r.Kind, Before: r.Base, After: r.Current}, Change{Kind: r.Kind, Before: r.Base, After: r.Edited})
 }
 
-// ConflictError says that the edit was not applied, since its base isn't the version in force.
+// ConflictError reports that the edit was not applied, because its base isn't the current version.
 type ConflictError struct {
 	Base    core.Version
 	Current core.Version
-	// Edit is the edit that produced the version in force.
+	// Edit is the edit that created the current version.
 	Edit   core.EditID
 	Reason string
 	Rows   []ConflictRow
@@ -54,7 +54,7 @@
 	return b.String()
 }
 
-// plan is what an edit does to the record in force.
+// plan is the effect of an edit on the current record.
 type plan struct {
 	table   *Table
 	changes Changes
@@ -71,7 +71,7 @@
 		conflict.Reason = "the base version is not in the store"
 		return plan{}, core.ErrTable.Wrap(conflict)
 	}
-	base, touched, err := cur.base(edit.Base)
+	base, touched, err := cur.restore(edit.Base)
 	if err != nil {
 		conflict.Reason = err.Error()
 		conflict.Rows = conflictRows(Diff(cur.table, edit.Table), nil, cur.table, edit.Table)
@@ -81,7 +81,7 @@
 	var theirs, both Changes
 	for kind := range touched {
 		theirs = append(theirs, Change{Kind: kind})
-		if c := mine.find(kind); c != nil && !sameRow(cur.table, edit.Table, kind) {
+		if c := mine.find(kind); c != nil && !isSameRow(cur.table, edit.Table, kind) {
 			both = append(both, *c)
 		}
 	}
@@ -98,7 +98,7 @@
 	return merge(cur, mine)
 }
 
-// merge applies changes to the table in force and validates the result as a whole.
+// merge applies changes to the current table and validates the result as a whole.
 func merge(cur *record, mine Changes) (plan, error) {
 	rows := make(map[core.Kind]core.KindPolicy)
 	for _, row := range cur.table.Kinds() {
@@ -111,27 +111,27 @@
 		}
 		rows[c.Kind] = *c.After
 	}
-	merged, err := Parse(fromMap(rows).CSV())
+	merged, err := Parse(newTableFromMap(rows).CSV())
 	if err != nil {
 		return plan{}, err
 	}
 	return plan{table: merged, changes: Diff(cur.table, merged), merged: true}, nil
 }
 
-func sameRow(a, b *Table, kind core.Kind) bool {
+func isSameRow(a, b *Table, kind core.Kind) bool {
 	x, inA := a.Policy(kind)
 	y, inB := b.Policy(kind)
 	return inA == inB && x == y
 }
 
-// conflictRows returns the rows of the kinds, sorted by kind. A nil base is unknown.
+// conflictRows returns the rows of the kinds, sorted by kind. A nil base means that it is unknown.
 func conflictRows(kinds Changes, base, current, edited *Table) []ConflictRow {
 	var rows []ConflictRow
 	for _, c := range kinds {
 		row := ConflictRow{
 			Kind: c.Kind, Base: rowOf(base, c.Kind), Current: rowOf(current, c.Kind), Edited: rowOf(edited, c.Kind),
 		}
-		row.Both = base == nil || !sameRow(base, edited, c.Kind)
+		row.Both = base == nil || !isSameRow(base, edited, c.Kind)
 		rows = append(rows, row)
 	}
 	sortRows(rows)
--- a/core/table/parse.go
+++ b/core/table/parse.go
@@ -12,7 +12,7 @@
 	"snipewall/core"
 )
 
-// maxProblems limits the problems that one validation collects.
+// maxProblems limits the number of problems that are reported at once.
 const maxProblems = 100
 
 // Problem is one cell or row that isn't accepted.
@@ -21,9 +21,9 @@
 	Row int
 	// Column is the name of the column, or empty for a whole row.
 	Column string
-	// Value is what stands there.
+	// Value is the rejected value.
 	Value string
-	// Accept tells what would be accepted.
+	// Accept describes the accepted values.
 	Accept string
 }
 
@@ -40,7 +40,7 @@
 	return b.String()
 }
 
-// InvalidError lists all problems of a table.
+// InvalidError lists the problems of a table.
 type InvalidError struct {
 	Problems []Problem
 }
@@ -53,13 +53,13 @@
 	return "invalid table: " + strings.Join(lines, "; ")
 }
 
-// Parse reads a table as CSV. Lines that start with # are comments. The error is an *InvalidError
-// with all problems, up to a limit.
+// Parse parses and validates a table in CSV. Lines that start with # are comments. The error is an
+// *InvalidError with the problems found, about 100 at most.
 func Parse(data []byte) (*Table, error) {
 	if len(data) > MaxBytes {
 		return nil, invalid(Problem{Value: fmt.Sprintf("%d bytes", len(data)), Accept: fmt.Sprintf("at most %d bytes", MaxBytes)})
 	}
-	// Spreadsheet programs put a byte order mark in front of UTF-8.
+	// Spreadsheet programs write a byte order mark before UTF-8.
 	data = bytes.TrimPrefix(data, []byte("\xef\xbb\xbf"))
 	p := parser{kinds: make(map[core.Kind]int)}
 	p.reader = csv.NewReader(bytes.NewReader(data))
@@ -76,7 +76,7 @@
 		return nil, invalid(p.problems...)
 	}
 	t := newTable(p.rows)
-	// The canonical form fills empty cells, so that it can be longer than the input.
+	// The canonical form fills empty cells, so it can be longer than the input.
 	if n := len(t.CSV()); n > MaxBytes {
 		return nil, invalid(Problem{Value: fmt.Sprintf("%d bytes with all cells filled", n), Accept: fmt.Sprintf("at most %d bytes", MaxBytes)})
 	}
@@ -90,7 +90,7 @@
 // parser collects the rows and problems of one table.
 type parser struct {
 	reader *csv.Reader
-	// columns holds the index into columns of each field.
+	// columns holds, for each field of a record, the index into the package's columns.
 	columns  []int
 	rows     []core.KindPolicy
 	kinds    map[core.Kind]int
@@ -101,7 +101,7 @@
 	p.problems = append(p.problems, Problem{Row: row, Column: column, Value: value, Accept: accept})
 }
 
-// read returns the next record and its line, or false at the end or at broken CSV.
+// read returns the next record and its line, or false at the end of the input or after a CSV error.
 func (p *parser) read() ([]string, int, bool) {
 	record, err := p.reader.Read()
 	if errors.Is(err, io.EOF) {
@@ -145,7 +145,7 @@
 	return len(p.problems) == 0
 }
 
-// row reads one row and returns false at the end.
+// row parses one row. It returns false at the end of the input.
 func (p *parser) row() bool {
 	record, line, ok := p.read()
 	if !ok {
@@ -179,7 +179,7 @@
 	return true
 }
 
-// checkRow checks what concerns several cells or rows.
+// checkRow checks conditions that involve several cells or rows.
 func (p *parser) checkRow(line int, row core.KindPolicy) {
 	if first, ok := p.kinds[row.Kind]; ok {
 		p.report(line, columns[0].name, string(row.Kind), fmt.Sprintf("each kind once, it is in row %d already", first))
--- a/core/table/record.go
+++ b/core/table/record.go
@@ -11,34 +11,34 @@
 
 // Limits of the history in a record.
 const (
-	// maxRecent is how many edits a record remembers.
+	// maxRecent is the maximum number of edits in the history.
 	maxRecent = 64
-	// maxRecentBytes limits the old rows that a record remembers.
+	// maxRecentBytes limits the size of the old rows in the history.
 	maxRecentBytes = 128 << 10
-	// maxRecordBytes limits what is decoded. It is the store's limit of a value.
+	// maxRecordBytes limits the size of a record. It is the store's limit for a value.
 	maxRecordBytes = 1 << 20
 )
 
 // DefaultKey is the key of the table in the platform's store.
 const DefaultKey = "snipewall/table"
 
-// record is the value in the store, and without the history also what entry VMs send each other.
+// record is the value in the store. Without the history, it is also what entry VMs send each other.
 type record struct {
 	Version core.Version
 	Edit    core.EditID
 	// Table is the canonical CSV form.
 	Table string
-	// Recent lists the last edits, this one included, the oldest first.
+	// Recent lists the most recent edits, this one included, oldest first.
 	Recent []recentEdit `json:",omitempty"`
 
 	table *Table
 }
 
-// recentEdit tells how to undo one edit.
+// recentEdit contains what is needed to undo one edit.
 type recentEdit struct {
 	Version core.Version
 	Edit    core.EditID
-	// Before holds the rows that the edit changed or removed, as CSV.
+	// Before contains the rows that the edit changed or removed, as CSV.
 	Before string
 	// Added lists the kinds that the edit added.
 	Added []core.Kind `json:",omitempty"`
@@ -75,13 +75,13 @@
 	return data, nil
 }
 
-// withoutHistory returns the record as entry VMs need it.
+// withoutHistory returns the record without the history, which entry VMs don't need.
 func (r *record) withoutHistory() *record {
 	return &record{Version: r.Version, Edit: r.Edit, Table: r.Table, table: r.table}
 }
 
-// find returns the version that the edit produced, or 0 if it isn't among the recent ones.
-func (r *record) find(id core.EditID) core.Version {
+// versionOfEdit returns the version that the edit created, or 0 if the history doesn't contain the edit.
+func (r *record) versionOfEdit(id core.EditID) core.Version {
 	if r.Version > 0 && r.Edit == id {
 		return r.Version
 	}
@@ -93,15 +93,15 @@
 	return 0
 }
 
-// remembers reports whether every edit above the version is among the recent ones.
-func (r *record) remembers(version core.Version) bool {
+// hasHistorySince reports whether the history contains every edit after the version.
+func (r *record) hasHistorySince(version core.Version) bool {
 	if r.Version <= version {
 		return true
 	}
 	return len(r.Recent) > 0 && r.Recent[0].Version <= version+1
 }
 
-// next returns the record that follows when the edit replaces the table.
+// next returns the record after an edit that replaces the table.
 func (r *record) next(version core.Version, id core.EditID, t *Table) *record {
 	undo := recentEdit{Version: version, Edit: id}
 	var before []core.KindPolicy
@@ -115,14 +115,14 @@
 	undo.Before = string(encode(before))
 	return &record{
 		Version: version, Edit: id, Table: string(t.CSV()),
-		Recent: trim(append(slices.Clone(r.Recent), undo)),
+		Recent: trimHistory(append(slices.Clone(r.Recent), undo)),
 		table:  t,
 	}
 }
 
-// trim drops the oldest edits beyond the limits. The newest one stays in any case, since its id
-// resolves a lost answer.
-func trim(list []recentEdit) []recentEdit {
+// trimHistory drops the oldest edits beyond the limits. It always keeps the newest one, whose id is
+// needed to resolve a lost answer.
+func trimHistory(list []recentEdit) []recentEdit {
 	size := 0
 	for i := len(list) - 1; i >= 0; i-- {
 		size += len(list[i].Before)
@@ -136,13 +136,13 @@
 	return list
 }
 
-// errForgotten says that the table of an older version can't be restored anymore.
-var errForgotten = errors.New("the base version is too old to restore")
+// errHistoryTruncated means that an older version can't be restored anymore.
+var errHistoryTruncated = errors.New("the base version is too old to restore")
 
-// base restores the table of the version and the kinds that any edit since then has touched.
-func (r *record) base(version core.Version) (*Table, map[core.Kind]bool, error) {
-	if !r.remembers(version) {
-		return nil, nil, errForgotten
+// restore returns the table of the version and the kinds that any later edit has touched.
+func (r *record) restore(version core.Version) (*Table, map[core.Kind]bool, error) {
+	if !r.hasHistorySince(version) {
+		return nil, nil, errHistoryTruncated
 	}
 	rows := make(map[core.Kind]core.KindPolicy)
 	for _, row := range r.table.Kinds() {
@@ -163,5 +163,5 @@
 			touched[row.Kind] = true
 		}
 	}
-	return fromMap(rows), touched, nil
+	return newTableFromMap(rows), touched, nil
 }
--- a/core/table/table.go
+++ b/core/table/table.go
@@ -12,25 +12,25 @@
 
 // Limits of a table.
 const (
-	// MaxRows is the highest number of rows.
+	// MaxRows is the maximum number of rows.
 	MaxRows = 2000
-	// MaxBytes is the highest length of the CSV form. With the history and the JSON encoding it stays
-	// below the store's limit of 1 MB.
+	// MaxBytes is the maximum length of the CSV form. With the history and the JSON encoding, the record
+	// stays below the store's limit of 1 MB.
 	MaxBytes = 256 << 10
 )
 
-// Table is a valid table. It doesn't change.
+// Table is a valid, immutable table.
 type Table struct {
 	rows   []core.KindPolicy
 	byKind map[core.Kind]core.KindPolicy
 }
 
-// New returns a table of the rows. It validates them like Parse does.
+// New returns a table with the rows. It validates them like Parse.
 func New(rows []core.KindPolicy) (*Table, error) {
 	return Parse(encode(rows))
 }
 
-// newTable returns a table of rows that are valid.
+// newTable returns a table with the rows, which must be valid.
 func newTable(rows []core.KindPolicy) *Table {
 	t := &Table{rows: slices.Clone(rows), byKind: make(map[core.Kind]core.KindPolicy, len(rows))}
 	slices.SortFunc(t.rows, func(a, b core.KindPolicy) int { return cmp.Compare(a.Kind, b.Kind) })
@@ -40,12 +40,12 @@
 	return t
 }
 
-// fromMap returns a table of valid rows by kind.
-func fromMap(rows map[core.Kind]core.KindPolicy) *Table {
+// newTableFromMap returns a table with the rows, which must be valid.
+func newTableFromMap(rows map[core.Kind]core.KindPolicy) *Table {
 	return newTable(slices.Collect(maps.Values(rows)))
 }
 
-// Policy returns the row of the kind, or false.
+// Policy returns the row of the kind, or false if there is none.
 func (t *Table) Policy(kind core.Kind) (core.KindPolicy, bool) {
 	if t == nil {
 		return core.KindPolicy{}, false
@@ -62,7 +62,7 @@
 	return t.rows
 }
 
-// CSV returns the canonical form.
+// CSV returns the table in canonical form.
 func (t *Table) CSV() []byte { return encode(t.Kinds()) }
 
 // Equal reports whether both tables have the same rows.
@@ -72,7 +72,7 @@
 func encode(rows []core.KindPolicy) []byte {
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
-	// Writing to a buffer doesn't fail.
+	// Writes to a bytes.Buffer don't fail.
 	_ = w.Write(columnNames())
 	for _, row := range rows {
 		_ = w.Write(cells(row))
--- a/core/table/table_test.go
+++ b/core/table/table_test.go
@@ -19,8 +19,8 @@
 	return tab
 }
 
-// Guards against defaults that differ from the documented ones, and against a form that depends on
-// the order of rows or columns.
+// Guards against defaults that differ from the documented ones, and against a canonical form that depends
+// on the order of rows or columns.
 func TestParseCanonical(t *testing.T) {
 	tab := mustParse(t, "\xef\xbb\xbf# Version: 7\nRank, Kind ,Rate,QueueTime\nurgent,start,2.50,250ms\n,quote,,\n")
 	want := "Kind,Rank,Weight,Concurrency,Rate,QueueTime,AcceptedAge,Idempotent,Deadline\n" +
@@ -38,8 +38,8 @@
 	assert.Assert(t, !ok)
 }
 
-// Guards against an error that doesn't say where the fault is and what would be accepted, and
-// against a table of which only a part is checked.
+// Guards against errors that name neither the location nor the accepted values, and against a table of
+// which only a part is checked.
 func TestParseProblems(t *testing.T) {
 	tests := []struct{ name, text, want string }{
 		{"empty", "", "a header with the columns Kind,Rank"},
@@ -81,7 +81,7 @@
 	return b.String()
 }
 
-// longRows is a table that is too long only with all cells filled.
+// longRows returns a table that only exceeds the maximum length once all cells are filled.
 func longRows() string {
 	b := strings.Builder{}
 	b.WriteString("Kind,Rate,Concurrency,AcceptedAge\n")
@@ -112,7 +112,7 @@
 	assert.ErrorContains(t, err, "want one comment # Version: N")
 }
 
-// Guards against a table that is accepted but can't be read back from its canonical form.
+// Guards against a table that is accepted but can't be parsed from its canonical form.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("Kind,Rank,Weight,Concurrency,Rate,QueueTime,AcceptedAge,Idempotent,Deadline\nquote,last,1,2,0.5,1s,2m,true,3s\n"))
 	f.Add([]byte("# Version: 7\nKind\n\"a\"\n"))
@@ -134,8 +134,8 @@
 	})
 }
 
-// Guards against a record from the store or a peer that makes a node fail, or whose history doesn't
-// lead back to a valid table.
+// Guards against a record from the store or a peer that crashes an entry VM, or whose history can't be
+// restored to a valid table.
 func FuzzDecodeRecord(f *testing.F) {
 	tab := mustParse(f, "Kind\nquote\n")
 	value, err := (&record{}).next(1, "edit", tab).encode()
@@ -151,7 +151,7 @@
 			if v > 70 {
 				break
 			}
-			if base, _, err := r.base(v); err == nil {
+			if base, _, err := r.restore(v); err == nil {
 				_, _ = planEdit(r, Edit{ID: "x", Base: v, Table: base, Merge: true})
 			}
 		}
--- a/core/table/watch.go
+++ b/core/table/watch.go
@@ -12,145 +12,145 @@
 	"snipewall/core/place"
 )
 
-// Sources of a table, as logs and dumps show them.
+// Sources of a table, as shown in logs and dumps.
 const (
 	sourceStore = "store"
 	sourcePeer  = "peer"
 )
 
-// Run implements core.Service: it loads the table from the store or from peers, whichever answers,
-// and then keeps it current.
-func (k *Cache) Run(ctx context.Context) error {
+// Run implements core.Service. It loads the table from the store or from peers, whichever answers, and
+// then keeps it up to date.
+func (c *Cache) Run(ctx context.Context) error {
 	asked := make(chan struct{})
 	go func() {
 		defer close(asked)
-		k.askPeers(ctx)
+		c.fetchFromPeers(ctx)
 	}()
-	w := watcher{keeper: k}
+	w := watcher{cache: c}
 	w.poll(ctx)
 	for ctx.Err() == nil {
-		// The generation is read before the members, so that no change in between is missed.
-		seen := k.generation()
-		if k.isWatcher() {
+		// The generation is read before the members, so that a change in between is not missed.
+		seen := c.generation()
+		if c.isWatcher() {
 			w.watch(ctx)
 			continue
 		}
-		w.idle(ctx, seen)
+		w.waitAndPoll(ctx, seen)
 	}
 	<-asked
 	return nil
 }
 
-// askPeers asks the other entry VMs until there is a table, so that an entry VM can start while the
-// platform is down.
-func (k *Cache) askPeers(ctx context.Context) {
-	peers := k.joined()
+// fetchFromPeers requests the table from other entry VMs until there is one, so that an entry VM can
+// start while the platform is down.
+func (c *Cache) fetchFromPeers(ctx context.Context) {
+	peers := c.currentPeers()
 	if peers == nil {
 		return
 	}
-	for n := 0; n < maxAsks && ctx.Err() == nil && k.Version() == 0; n++ {
+	for n := 0; n < maxPeerFetches && ctx.Err() == nil && c.Version() == 0; n++ {
 		encoded, err := peers.FetchTable(ctx)
 		if err == nil {
-			_, err = k.Adopt(encoded, sourcePeer)
+			_, err = c.Adopt(encoded, sourcePeer)
 		}
 		if err != nil {
-			k.setError(err)
+			c.setError(err)
 		}
-		if k.Version() > 0 || !pause(ctx, defaultBackoff<<n) {
+		if c.Version() > 0 || !sleepWithJitter(ctx, defaultBackoff<<n) {
 			return
 		}
 	}
 }
 
-func (k *Cache) joined() Peers {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.peers
+func (c *Cache) currentPeers() Peers {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.peers
 }
 
-// generation returns the number of the membership's state, or 0 without one.
-func (k *Cache) generation() uint64 {
-	if peers := k.joined(); peers != nil {
+// generation returns the generation of the membership, or 0 without peers.
+func (c *Cache) generation() uint64 {
+	if peers := c.currentPeers(); peers != nil {
 		return peers.Generation()
 	}
 	return 0
 }
 
-// isWatcher reports whether this entry VM is one of those of its failure domain that hold a watch.
-func (k *Cache) isWatcher() bool {
-	peers := k.joined()
-	is := peers == nil || place.IsElected(k.cfg.Key, peers.Self(), peers.Alive(), k.cfg.Watchers)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.watching = is
+// isWatcher reports whether this entry VM is one of those in its failure domain that hold a watch.
+func (c *Cache) isWatcher() bool {
+	peers := c.currentPeers()
+	is := peers == nil || place.IsElected(c.cfg.Key, peers.Self(), peers.Alive(), c.cfg.WatchersPerDomain)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.watching = is
 	return is
 }
 
-// pollTime returns the time between polls of an entry VM without a watch.
-func (k *Cache) pollTime() time.Duration {
-	d := k.cfg.PollBase
-	if peers := k.joined(); peers != nil {
-		d = max(d, k.cfg.PollStep*time.Duration(len(peers.Alive())))
+// pollInterval returns the time until the next poll of an entry VM without a watch, with jitter.
+func (c *Cache) pollInterval() time.Duration {
+	d := c.cfg.MinPollInterval
+	if peers := c.currentPeers(); peers != nil {
+		d = max(d, c.cfg.PollIntervalPerVM*time.Duration(len(peers.Alive())))
 	}
 	return d/2 + mathrand.N(d)
 }
 
-func (k *Cache) setError(err error) {
-	level.Warn(k.cfg.Logger).Log("Msg", "table not loaded", "Err", err)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.lastError = err.Error()
+func (c *Cache) setError(err error) {
+	level.Warn(c.cfg.Logger).Log("Msg", "table not loaded", "Err", err)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastError = err.Error()
 }
 
-func (k *Cache) clearError() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.lastError = ""
+func (c *Cache) clearError() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastError = ""
 }
 
 // watcher reads the table from the store.
 type watcher struct {
-	keeper *Cache
-	// version is the entry's version as it was read last.
+	cache *Cache
+	// version is the entry's version at the last read.
 	version core.Version
-	// failures counts the calls that failed in a row.
+	// failures counts the consecutive failed calls.
 	failures int
 }
 
 // poll reads the entry once.
 func (w *watcher) poll(ctx context.Context) {
-	entry, err := w.keeper.cfg.Store.Get(ctx, w.keeper.cfg.Key)
-	w.take(ctx, entry, err)
+	entry, err := w.cache.cfg.Store.Get(ctx, w.cache.cfg.Key)
+	w.handle(ctx, entry, err)
 }
 
-// watch waits for the next change.
+// watch waits for the next change of the entry.
 func (w *watcher) watch(ctx context.Context) {
 	start, before := time.Now(), w.version
-	entry, err := w.keeper.cfg.Store.Watch(ctx, w.keeper.cfg.Key, w.version)
-	w.take(ctx, entry, err)
+	entry, err := w.cache.cfg.Store.Watch(ctx, w.cache.cfg.Key, w.version)
+	w.handle(ctx, entry, err)
 	if w.failures > 0 {
-		pause(ctx, defaultBackoff<<min(w.failures, 10))
+		sleepWithJitter(ctx, defaultBackoff<<min(w.failures, 10))
 		return
 	}
-	// A watch that returns early without news must not turn into a busy loop.
-	if w.version <= before && time.Since(start) < watchSpacing {
-		pause(ctx, watchSpacing)
+	// A watch that returns early without a change must not cause a busy loop.
+	if w.version <= before && time.Since(start) < minWatchInterval {
+		sleepWithJitter(ctx, minWatchInterval)
 	}
 }
 
-// idle waits until this entry VM has to hold a watch, or polls after a long time. Without a table it
-// polls sooner. It was decided at the generation seen that no watch is needed.
-func (w *watcher) idle(ctx context.Context, seen uint64) {
-	until := time.Now().Add(w.keeper.pollTime())
-	if w.keeper.Version() == 0 {
-		until = time.Now().Add(emptyPollTime)
+// waitAndPoll waits until this entry VM has to hold a watch, or until the next poll is due, which is
+// sooner without a table. No watch was needed at the membership generation seen.
+func (w *watcher) waitAndPoll(ctx context.Context, seen uint64) {
+	until := time.Now().Add(w.cache.pollInterval())
+	if w.cache.Version() == 0 {
+		until = time.Now().Add(emptyPollInterval)
 	}
 	for time.Now().Before(until) {
-		if !pause(ctx, roleCheckTime) {
+		if !sleepWithJitter(ctx, roleCheckInterval) {
 			return
 		}
-		gen := w.keeper.generation()
-		if gen != seen && w.keeper.isWatcher() {
+		gen := w.cache.generation()
+		if gen != seen && w.cache.isWatcher() {
 			return
 		}
 		seen = gen
@@ -158,31 +158,31 @@
 	w.poll(ctx)
 }
 
-// take adopts what a read returned.
-func (w *watcher) take(ctx context.Context, entry core.Entry, err error) {
+// handle processes the result of a read.
+func (w *watcher) handle(ctx context.Context, entry core.Entry, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	if errors.Is(err, core.ErrNotFound) {
-		// The table in force stays when the entry is gone.
+		// A deleted entry doesn't remove the table in force.
 		w.version, w.failures = 0, 0
 		return
 	}
 	if err != nil {
 		w.failures++
-		w.keeper.setError(err)
+		w.cache.setError(err)
 		return
 	}
 	w.failures = 0
 	changed := entry.Version != w.version
-	// The version follows the entry downward too, since a store that was restored counts anew.
+	// The version may also decrease, since a store that was restored counts from a lower version.
 	w.version = entry.Version
 	if !changed {
 		return
 	}
-	if _, err := w.keeper.Adopt(entry.Value, sourceStore); err != nil {
-		w.keeper.setError(err)
+	if _, err := w.cache.Adopt(entry.Value, sourceStore); err != nil {
+		w.cache.setError(err)
 		return
 	}
-	w.keeper.clearError()
+	w.cache.clearError()
 }
