--- a/core/proxy/connect.go
+++ b/core/proxy/connect.go
@@ -137,7 +137,7 @@
 }
 
 func (n *node) newConn(lc core.LineConn, owner core.VMID) *conn {
-	n.notePosition(lc.Hello())
+	n.notePosition(lc.InitialPosition())
 	return &conn{LineConn: lc, owner: owner, lastUsed: time.Now()}
 }
 
@@ -250,7 +250,7 @@
 
 // isUsable reports whether the connection may carry the next statement.
 func (n *node) isUsable(c *conn) bool {
-	return !n.p.suspects.has(c.owner) && (time.Since(c.lastUsed) < checkAfter || c.Idle())
+	return !n.p.suspects.has(c.owner) && (time.Since(c.lastUsed) < checkAfter || c.IsIdle())
 }
 
 // put returns a connection that has no statement in progress to its pool.
--- a/core/proxy/fake_test.go
+++ b/core/proxy/fake_test.go
@@ -71,15 +71,15 @@
 	guards   bool
 }
 
-func (l *fakeConn) Hello() core.Position {
+func (l *fakeConn) InitialPosition() core.Position {
 	l.s.mu.Lock()
 	defer l.s.mu.Unlock()
 	return l.s.log
 }
 
-func (l *fakeConn) Idle() bool   { return !l.closed && len(l.answers) == 0 }
-func (l *fakeConn) Guards() bool { return l.guards }
-func (l *fakeConn) Close() error { l.closed = true; return nil }
+func (l *fakeConn) IsIdle() bool           { return !l.closed && len(l.answers) == 0 }
+func (l *fakeConn) CanPipelineBegin() bool { return l.guards }
+func (l *fakeConn) Close() error           { l.closed = true; return nil }
 
 func (l *fakeConn) Send(cmds []core.Command) error {
 	for _, c := range cmds {
--- a/core/proxy/single.go
+++ b/core/proxy/single.go
@@ -64,7 +64,7 @@
 	if t.strict {
 		cmds = append(cmds, w.withQueueing(core.Command{Op: core.OpBegin}))
 	}
-	if t.strict && !c.Guards() {
+	if t.strict && !c.CanPipelineBegin() {
 		ans, err := h.roundTrip(cmds, w.deadline)
 		if err != nil || ans.Fault != core.FaultNone {
 			return s.handleSetUpFailure(h, ans, err)
--- a/io/hop/client.go
+++ b/io/hop/client.go
@@ -69,8 +69,8 @@
 	return core.ErrPeer.Wrap(c.conn.SetDeadline(time.Time{}))
 }
 
-// Hello implements core.LineConn.
-func (c *Conn) Hello() core.Position { return c.helloPosition }
+// InitialPosition implements core.LineConn.
+func (c *Conn) InitialPosition() core.Position { return c.helloPosition }
 
 // Send implements core.LineConn.
 func (c *Conn) Send(cmds []core.Command) error {
@@ -120,11 +120,11 @@
 	}
 }
 
-// Guards implements core.LineConn.
-func (c *Conn) Guards() bool { return true }
+// CanPipelineBegin implements core.LineConn.
+func (c *Conn) CanPipelineBegin() bool { return true }
 
-// Idle implements core.LineConn.
-func (c *Conn) Idle() bool {
+// IsIdle implements core.LineConn.
+func (c *Conn) IsIdle() bool {
 	return !c.ownerStopping && c.readErr == nil && c.in.Buffered() == 0 && sock.IsIdle(c.conn)
 }
 
