--- a/core/proxy/cluster.go
+++ b/core/proxy/cluster.go
@@ -94,8 +94,8 @@
 	return n.probe(ctx, deadline)
 }
 
-// probe uses an idle connection if there is one, otherwise a new one, and after probeRelayDelay also
-// other VMs: this VM may be cut off from an upstream that works.
+// probe tries an idle connection, if there is one, for a third of the time. It then uses a new one, and
+// after probeRelayDelay or a failure also other VMs: this VM may be cut off from an upstream that works.
 func (n *node) probe(ctx context.Context, deadline time.Time) (lead.ProbeResult, error) {
 	first, _ := n.poolOrder()
 	if handle, ok := n.tryGet(first); ok {
--- a/core/proxy/conn.go
+++ b/core/proxy/conn.go
@@ -6,7 +6,7 @@
 	"snipewall/core"
 )
 
-// conn is a pooled connection with the session state that it has upstream.
+// conn is a pooled connection with a record of the session state that is set on it.
 type conn struct {
 	core.LineConn
 	// owner is the VM at the other end, or empty if it is the upstream itself.
--- a/core/proxy/connect.go
+++ b/core/proxy/connect.go
@@ -20,8 +20,9 @@
 	maxRelayConns = 32
 	// relayIdleTimeout is how long an unused connection to an owner is kept.
 	relayIdleTimeout = 20 * time.Second
-	// relayDialTimeout limits one dial of an owner to three times the round trips between regions that
-	// it takes. Dialing two owners that don't answer must leave time to reach the upstream directly.
+	// relayDialTimeout limits one dial of an owner. It is three times as long as the round trips of the
+	// dial take between regions. Dialing two owners that don't answer must leave time to reach the
+	// upstream directly.
 	relayDialTimeout = 150 * time.Millisecond
 	// maxFallbackConns limits the direct connections of a VM that reaches no owner of an upstream,
 	// since this can happen to many VMs at the same time.
@@ -31,8 +32,8 @@
 	// regions, which takes two round trips and a handshake.
 	slowDialAfter = 100 * time.Millisecond
 	// ownerRefusalWait is how long a VM waits before it dials directly while the owners refuse. After a
-	// power loss, an upstream counts the old connections for 3 s, and the VMs are down for more than
-	// half of that time.
+	// power loss, an upstream counts the old connections for 3 s. The VMs are down for more than half of
+	// that time, so that less than this wait remains.
 	ownerRefusalWait = 1500 * time.Millisecond
 	// maxRelayPeers is the maximum number of VMs that are asked to relay before the statement is
 	// refused: owners first, since they have the most connections.
@@ -40,8 +41,8 @@
 	// reservedConns is the number of connections of an entry VM that are kept free of open transactions
 	// for single statements.
 	reservedConns = 2
-	// connIdleTimeout is how long an unused connection is kept. An upstream counts the connections of a
-	// VM that lost power for 3 s more, so that unused ones would keep restarting VMs out.
+	// connIdleTimeout is how long an unused connection is kept. When VMs lose power, an upstream still
+	// counts their connections for 3 s, so that unused ones would keep the restarting VMs out.
 	connIdleTimeout = 500 * time.Millisecond
 	// dialTimeout limits one dial. It is a multiple of the longest handshake and round trip.
 	dialTimeout = time.Second
@@ -53,7 +54,7 @@
 	checkAfter = 20 * time.Millisecond
 )
 
-// errNoOwner says that no VM answers that owns the upstream or could relay to it.
+// errNoOwner says that none of the VMs that own the upstream or could relay to it answers.
 var errNoOwner = errors.New("no other VM answers")
 
 func isAtLimit(err error) bool {
@@ -98,7 +99,8 @@
 	return n.newConn(lc, ""), nil
 }
 
-// dialRelay connects to the first VM that answers of those that own the upstream or could relay to it.
+// dialRelay connects to the upstream through another VM: the first that answers among the owners of the
+// path, or among the VMs next in the order of ownership if the path is direct.
 func (n *node) dialRelay(ctx context.Context) (*conn, error) {
 	u := n.info.Load()
 	owners := n.path.owners
--- a/core/proxy/fake_test.go
+++ b/core/proxy/fake_test.go
@@ -61,14 +61,14 @@
 }
 
 type fakeConn struct {
-	s        *server
-	n        int
-	status   core.TxStatus
-	values   map[string]string
-	prepared map[string]string
-	answers  []core.Answer
-	closed   bool
-	guards   bool
+	s                *server
+	n                int
+	status           core.TxStatus
+	values           map[string]string
+	prepared         map[string]string
+	answers          []core.Answer
+	closed           bool
+	canPipelineBegin bool
 }
 
 func (l *fakeConn) InitialPosition() core.Position {
@@ -78,7 +78,7 @@
 }
 
 func (l *fakeConn) IsIdle() bool           { return !l.closed && len(l.answers) == 0 }
-func (l *fakeConn) CanPipelineBegin() bool { return l.guards }
+func (l *fakeConn) CanPipelineBegin() bool { return l.canPipelineBegin }
 func (l *fakeConn) Close() error           { l.closed = true; return nil }
 
 func (l *fakeConn) Send(cmds []core.Command) error {
@@ -114,7 +114,7 @@
 func (l *fakeConn) run(c core.Command) core.Answer {
 	l.s.mu.Lock()
 	defer l.s.mu.Unlock()
-	fault := l.decide(c)
+	fault := l.execute(c)
 	if fault != core.FaultNone && c.Op != core.OpRollback && l.status == core.TxOpen && fault != core.FaultBusy {
 		l.status = core.TxFailed
 	}
@@ -126,7 +126,8 @@
 	return ans
 }
 
-func (l *fakeConn) decide(c core.Command) core.Fault {
+// execute applies the command and returns its fault.
+func (l *fakeConn) execute(c core.Command) core.Fault {
 	switch c.Op {
 	case core.OpBegin, core.OpBeginRead:
 		if c.Op == core.OpBegin && !l.s.leads && !l.s.skipLeaderCheck {
@@ -145,12 +146,12 @@
 	case core.OpPrepare:
 		l.prepared[c.Name] = c.Text
 	default:
-		return l.statement(c)
+		return l.executeStatement(c)
 	}
 	return core.FaultNone
 }
 
-func (l *fakeConn) statement(c core.Command) core.Fault {
+func (l *fakeConn) executeStatement(c core.Command) core.Fault {
 	if l.s.busy > 0 {
 		l.s.busy--
 		return core.FaultBusy
@@ -162,11 +163,11 @@
 	text := c.Text
 	write := len(text) > 5 && text[:5] == "WRITE"
 	if c.Op == core.OpExecute {
-		shape, ok := l.prepared[c.Name]
+		prepared, ok := l.prepared[c.Name]
 		if !ok {
 			return core.FaultUnprepared
 		}
-		text = shape + " " + c.Text
+		text = prepared + " " + c.Text
 		write = c.Name[0] == 'w'
 	}
 	if write && !l.s.leads {
@@ -190,14 +191,14 @@
 	dir     *topo.Directory
 	proxy   *Proxy
 	// suspended is how far the proxy's clock is ahead because of suspension.
-	suspended atomic.Int64
-	start     time.Time
-	alive     []core.VM
-	guards    bool
-	dials     atomic.Int32
-	// full makes the upstreams refuse new connections. Dials of those in cut don't answer.
-	full atomic.Bool
-	cut  map[core.UpstreamID]bool
+	suspended        atomic.Int64
+	start            time.Time
+	alive            []core.VM
+	canPipelineBegin bool
+	dials            atomic.Int32
+	// full makes the upstreams refuse new connections. Dials of the unreachable ones don't answer.
+	full        atomic.Bool
+	unreachable map[core.UpstreamID]bool
 	// owner connects to an upstream's owner; nil means that no owner answers.
 	owner func(id core.UpstreamID) (core.LineConn, error)
 }
@@ -273,12 +274,12 @@
 
 // relayConn connects to the upstream as its owner would.
 func (r *harness) relayConn(id core.UpstreamID) (core.LineConn, error) {
-	return &fakeConn{s: r.servers[id], status: core.TxIdle, values: map[string]string{}, prepared: map[string]string{}, guards: true}, nil
+	return &fakeConn{s: r.servers[id], status: core.TxIdle, values: map[string]string{}, prepared: map[string]string{}, canPipelineBegin: true}, nil
 }
 
 // Dial implements core.LineDialer.
 func (r *harness) Dial(ctx context.Context, u core.UpstreamInfo) (core.LineConn, error) {
-	if r.cut[u.ID] {
+	if r.unreachable[u.ID] {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -290,7 +291,7 @@
 	}
 	s.conns++
 	r.dials.Add(1)
-	return &fakeConn{s: s, n: s.conns, status: core.TxIdle, values: map[string]string{}, prepared: map[string]string{}, guards: r.guards}, nil
+	return &fakeConn{s: s, n: s.conns, status: core.TxIdle, values: map[string]string{}, prepared: map[string]string{}, canPipelineBegin: r.canPipelineBegin}, nil
 }
 
 // do executes a statement, given as the caller sent it.
--- a/core/proxy/group.go
+++ b/core/proxy/group.go
@@ -48,9 +48,9 @@
 	var bestLog core.Position
 	for _, n := range *g.nodes.Load() {
 		n.mu.Lock()
-		canLead, at, log, leavingAt := n.canLead(), n.evidenceAt, n.position, n.leavingAt
+		claimant, at, log, leavingAt := n.isPrimaryClaimant(), n.evidenceAt, n.position, n.leavingAt
 		n.mu.Unlock()
-		if !canLead || (!leavingAt.IsZero() && now.Sub(leavingAt) > leavingGrace) {
+		if !claimant || (!leavingAt.IsZero() && now.Sub(leavingAt) > leavingGrace) {
 			continue
 		}
 		if best == nil || at.After(bestAt) || (at.Equal(bestAt) && bestLog.Less(log)) {
@@ -75,7 +75,7 @@
 	return !ok || now.Sub(at) >= sampleInterval
 }
 
-// noteOutage records that a statement found no primary and returns how long this has been so.
+// noteOutage records that a statement found no primary and returns for how long there has been none.
 func (g *group) noteOutage(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/core/proxy/history_test.go
+++ b/core/proxy/history_test.go
@@ -16,7 +16,7 @@
 	"snipewall/core"
 )
 
-// historySeeds is the number of random histories. CI runs few.
+// historySeeds is the number of random histories. The default is small for CI; manual runs use more.
 var historySeeds = flag.Uint64("history.seeds", 20, "number of random histories")
 
 const (
@@ -67,11 +67,11 @@
 	commits []commit
 	leader  core.UpstreamID
 	// leaderChanges holds all changes. Each has its own term, as the platform assigns it.
-	leaderChanges []leaderChange
-	paused        map[core.UpstreamID]bool
-	n             int
-	checkedReads  int
-	violations    []string
+	leaderChanges     []leaderChange
+	replicationPaused map[core.UpstreamID]bool
+	n                 int
+	checkedReads      int
+	violations        []string
 }
 
 func (h *history) clock() time.Duration {
@@ -190,7 +190,7 @@
 	log := lead.log
 	lead.mu.Unlock()
 	for id, s := range h.servers {
-		if id != h.leader && !h.paused[id] {
+		if id != h.leader && !h.replicationPaused[id] {
 			s.update(func(s *server) { s.log = log })
 		}
 	}
@@ -274,12 +274,12 @@
 		h.suspend(d)
 	case 2:
 		h.mu.Lock()
-		h.paused[id] = true
+		h.replicationPaused[id] = true
 		h.mu.Unlock()
 		time.AfterFunc(d, func() {
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.paused[id] = false
+			h.replicationPaused[id] = false
 		})
 	case 3:
 		s.update(func(s *server) { s.silent = true })
@@ -295,7 +295,7 @@
 // runHistory runs the history of the seed and returns it.
 func runHistory(t *testing.T, seed uint64, disabled mechanism) *history {
 	t.Helper()
-	h := &history{rand: rand.New(rand.NewPCG(seed, 0)), leader: primaryID, paused: map[core.UpstreamID]bool{}}
+	h := &history{rand: rand.New(rand.NewPCG(seed, 0)), leader: primaryID, replicationPaused: map[core.UpstreamID]bool{}}
 	synctest.Test(t, func(t *testing.T) {
 		h.harness = newHarness(t)
 		switch disabled {
--- a/core/proxy/load_test.go
+++ b/core/proxy/load_test.go
@@ -20,19 +20,19 @@
 // Guards against reads that cross regions although the local upstream would answer sooner, and against
 // reads that queue locally while another region is idle. Load pattern: a surge in one failure domain.
 func TestCheapest(t *testing.T) {
-	home := candidate{wait: 20 * time.Millisecond}
-	away := candidate{distance: interRegionRTT, wait: 5 * time.Millisecond}
+	local := candidate{wait: 20 * time.Millisecond}
+	remote := candidate{distance: interRegionRTT, wait: 5 * time.Millisecond}
 	tests := []struct {
 		name  string
 		cands []candidate
 		want  int
 	}{
 		{"none", nil, -1},
-		{"the local upstream is near enough", []candidate{away, home}, 1},
-		{"the local upstream is in a surge", []candidate{away, {wait: 40 * time.Millisecond}}, 0},
-		{"a replica is preferred to the primary", []candidate{{primary: true, wait: 10 * time.Millisecond}, home}, 1},
+		{"the local upstream answers sooner", []candidate{remote, local}, 1},
+		{"the local upstream is in a surge", []candidate{remote, {wait: 40 * time.Millisecond}}, 0},
+		{"a replica is preferred to the primary", []candidate{{primary: true, wait: 10 * time.Millisecond}, local}, 1},
 		{"the primary helps in a surge", []candidate{{primary: true, wait: time.Millisecond}, {wait: 50 * time.Millisecond}}, 0},
-		{"a lagging replica is skipped", []candidate{{lagging: true}, home}, 1},
+		{"an up-to-date replica is preferred to a lagging one", []candidate{{lagging: true}, local}, 1},
 		{"a failing upstream is the last choice", []candidate{{failing: true}, {primary: true, lagging: true, distance: interRegionRTT}}, 1},
 	}
 	for _, tt := range tests {
@@ -42,7 +42,7 @@
 
 // surge sends reads of the database at a fixed rate for a time and counts the faults of the replies.
 func (r *harness) surge(database string, every, length time.Duration) map[core.Fault]int {
-	ends := map[core.Fault]int{}
+	faults := map[core.Fault]int{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := range int(length / every) {
@@ -51,12 +51,12 @@
 			reply := r.do(s, VerbRead, fmt.Sprintf("READ %d", i))
 			mu.Lock()
 			defer mu.Unlock()
-			ends[reply.Fault]++
+			faults[reply.Fault]++
 		})
 		time.Sleep(every)
 	}
 	wg.Wait()
-	return ends
+	return faults
 }
 
 // Guards against a surge of bounded reads that overloads the nearest replica while others are idle. At
@@ -67,8 +67,8 @@
 			s.update(func(s *server) { s.serviceTime = 30 * time.Millisecond })
 		}
 		r.must(r.proxy.Open("strict"), VerbRead, "READ 0")
-		ends := r.surge("bounded", 4*time.Millisecond, 3*time.Second)
-		assert.Equal(t, ends[core.FaultNone], 750, "%v", ends)
+		faults := r.surge("bounded", 4*time.Millisecond, 3*time.Second)
+		assert.Equal(t, faults[core.FaultNone], 750, "%v", faults)
 		assert.Assert(t, len(r.texts(farID)) > 100, "the far replica served %d", len(r.texts(farID)))
 	})
 }
@@ -140,13 +140,13 @@
 	assert.Equal(t, len(planPath("vm-00", vms(9), u, 22).owners), 0)
 	owners := map[core.VMID]int{}
 	for _, vm := range vms(74) {
-		at := planPath(vm.ID, vms(74), u, 46)
-		if len(at.owners) == 0 {
+		p := planPath(vm.ID, vms(74), u, 46)
+		if len(p.owners) == 0 {
 			owners[vm.ID]++
-			assert.Assert(t, at.conns < 46, "an owner must leave connections to its successor")
+			assert.Assert(t, p.conns < 46, "an owner must leave connections to its successor")
 			continue
 		}
-		assert.Assert(t, at.owners[0].ID != vm.ID)
+		assert.Assert(t, p.owners[0].ID != vm.ID)
 	}
 	assert.Equal(t, len(owners), 1, "one VM must own the upstream: %v", owners)
 }
@@ -210,8 +210,8 @@
 		r := newHarness(t, otherVMs()...)
 		r.owner = r.relayConn
 		r.full.Store(true)
-		ends := r.surge("strict", 10*time.Millisecond, time.Second)
-		assert.Equal(t, ends[core.FaultNone], 100, "%v", ends)
+		faults := r.surge("strict", 10*time.Millisecond, time.Second)
+		assert.Equal(t, faults[core.FaultNone], 100, "%v", faults)
 		r.full.Store(false)
 		time.Sleep(connIdleTimeout + maxDialBackoff)
 		r.surge("strict", 10*time.Millisecond, time.Second)
@@ -268,13 +268,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newHarness(t, otherVMs()...)
 		r.owner = r.relayConn
-		r.cut = map[core.UpstreamID]bool{primaryID: true}
+		r.unreachable = map[core.UpstreamID]bool{primaryID: true}
 		time.Sleep(2 * dialTimeout)
 		began := time.Now()
 		r.must(r.proxy.Open("own"), VerbWrite, "WRITE 1")
 		t.Logf("first write after %v", time.Since(began))
-		ends := r.surge("strict", 10*time.Millisecond, 2*time.Second)
-		assert.Equal(t, ends[core.FaultNone], 200, "%v", ends)
+		faults := r.surge("strict", 10*time.Millisecond, 2*time.Second)
+		assert.Equal(t, faults[core.FaultNone], 200, "%v", faults)
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		defer cancel()
 		res, err := r.proxy.Probe(ctx, primaryID)
@@ -315,8 +315,8 @@
 		}
 		r.must(r.proxy.Open("strict"), VerbRead, "READ 0")
 		const length = 3 * time.Second
-		ends := r.surge("bounded", 10*time.Millisecond, length)
-		assert.Equal(t, ends[core.FaultNone], 300, "%v", ends)
+		faults := r.surge("bounded", 10*time.Millisecond, length)
+		assert.Equal(t, faults[core.FaultNone], 300, "%v", faults)
 		for _, id := range replicas {
 			lagged := r.servers[id].lagged
 			assert.Assert(t, lagged <= lagSkipCount+int(length/maxLagBackoff)+1, "%s was tried %d times", id, lagged)
--- a/core/proxy/node.go
+++ b/core/proxy/node.go
@@ -44,7 +44,7 @@
 	path  path
 	// direct holds connections to the upstream itself, relayed those through other VMs.
 	direct, relayed *pool.Pool[*conn]
-	// limit is the maximum number of concurrent statements on the upstream.
+	// limit is the maximum number of concurrent statements of this VM on the upstream.
 	limit  int
 	cancel context.CancelFunc
 
@@ -109,7 +109,7 @@
 	n.mu.Unlock()
 }
 
-// noteAnswer records an answer that took d without the round trip.
+// noteAnswer records an answer that took d, not counting the round trip.
 func (n *node) noteAnswer(now time.Time, d time.Duration, p core.Position) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -178,8 +178,9 @@
 	}
 }
 
-// canLead reports whether the upstream claims or has proved to be the primary. The caller holds mu.
-func (n *node) canLead() bool {
+// isPrimaryClaimant reports whether the upstream claims or has proved to be the primary. The caller
+// holds mu.
+func (n *node) isPrimaryClaimant() bool {
 	return n.proved || (!n.denied && n.info.Load().Role == core.RolePrimary)
 }
 
@@ -211,7 +212,7 @@
 	}
 	lagging, skip := n.lagState(now, await)
 	return candidate{
-		primary:  n.canLead(),
+		primary:  n.isPrimaryClaimant(),
 		distance: n.p.distance(u),
 		wait:     latency * time.Duration(1+n.pending.Load()) / time.Duration(n.limit),
 		lagging:  lagging,
--- a/core/proxy/path.go
+++ b/core/proxy/path.go
@@ -57,7 +57,7 @@
 	return path{conns: max(maxConns, int(ownerConnShare*float64(connections)))}
 }
 
-// suspects are entry VMs that recently didn't answer. It is safe for concurrent use.
+// suspects holds the entry VMs that recently didn't answer. It is safe for concurrent use.
 type suspects struct {
 	mu sync.Mutex
 	at map[core.VMID]time.Time
--- a/core/proxy/relay.go
+++ b/core/proxy/relay.go
@@ -12,7 +12,7 @@
 // goroutine at a time.
 type Relay struct {
 	n *node
-	// session holds the session values of the other VM's session.
+	// session holds the values that the other VM's session has set.
 	session Session
 	// prepared holds the prepared statements by their name on upstream connections.
 	prepared map[string]preparedStmt
@@ -34,8 +34,9 @@
 	return &Relay{n: n}, n.position, true
 }
 
-// directNode returns a node that reaches the upstream directly. VMs that disagree about the owner may
-// send work to a VM that isn't; it serves the work as an owner would.
+// directNode returns a node that reaches the upstream directly, or nil if the upstream is unknown. VMs may
+// disagree about the owner: a VM that gets work for an upstream which it doesn't own serves it as the
+// owner would.
 func (p *Proxy) directNode(id core.UpstreamID) *node {
 	p.reconcileMu.Lock()
 	defer p.reconcileMu.Unlock()
@@ -147,8 +148,9 @@
 	return &heldConn{node: r.n, handle: handle}, nil
 }
 
-// startBy is until when the command may wait. After that a refusal serves its caller better. The
-// refusal has to arrive before the caller's VM times out, since the outcome would be unknown then.
+// startBy returns the time until which the command may wait for a slot and a connection. After it, a
+// refusal serves the caller better. The refusal has to arrive before the VM that sent the command times
+// out, since that VM would have to report an unknown outcome.
 func startBy(cmd core.Command, deadline time.Time) time.Time {
 	if cmd.StartBy.IsZero() {
 		return deadline
--- a/core/proxy/session.go
+++ b/core/proxy/session.go
@@ -135,7 +135,7 @@
 	s.p.metrics.aborts.Inc(1)
 	s.p.logDecision("transaction aborted", "Database", s.database, "Reason", reason)
 	s.rollback()
-	s.tx.failed, s.tx.aborted = true, reason
+	s.tx.failed, s.tx.abortReason = true, reason
 }
 
 // Close ends the session and rolls an open transaction back.
@@ -201,8 +201,8 @@
 
 // replyInFailedTx answers a statement in a failed transaction, which allows only COMMIT and ROLLBACK.
 func (s *Session) replyInFailedTx(st *Statement) Reply {
-	reason := s.tx.aborted
-	s.tx.aborted = ""
+	reason := s.tx.abortReason
+	s.tx.abortReason = ""
 	if st.Verb == VerbCommit {
 		s.tx = nil
 		return Reply{Fault: core.FaultAborted, Text: "the transaction had failed and is rolled back"}
@@ -221,6 +221,7 @@
 	return Reply{}
 }
 
+// fail marks an open transaction as failed, without a rollback, and returns the reply.
 func (s *Session) fail(r Reply) Reply {
 	if s.tx != nil {
 		s.tx.failed = true
--- a/core/proxy/session_test.go
+++ b/core/proxy/session_test.go
@@ -18,14 +18,14 @@
 
 // Guards against a strict read on an upstream that no longer leads: its log lacks later commits.
 func TestStrictReadNeedsLeader(t *testing.T) {
-	for _, guards := range []bool{false, true} {
+	for _, canPipelineBegin := range []bool{false, true} {
 		inBubble(t, func(t *testing.T, r *harness) {
-			r.guards = guards
+			r.canPipelineBegin = canPipelineBegin
 			r.servers[primaryID].update(func(s *server) { s.leads = false })
 			s := r.proxy.Open("strict")
 			reply := r.do(s, VerbRead, "READ 1")
 			assert.Equal(t, reply.Fault, core.FaultBusy)
-			if !guards {
+			if !canPipelineBegin {
 				assert.Equal(t, len(r.servers[primaryID].runs()), 0)
 			}
 			assert.Equal(t, reply.Status, core.TxIdle)
@@ -215,20 +215,20 @@
 // one, and against refusing statements that a promotion would serve in time.
 func TestOutage(t *testing.T) {
 	inBubble(t, func(t *testing.T, r *harness) {
-		demote := func(role core.Role) {
+		setRole := func(role core.Role) {
 			u := r.dir.Snapshot().Upstreams[primaryID]
 			u.Role = role
 			r.dir.Put(u)
 			time.Sleep(time.Millisecond)
 		}
-		demote(core.RoleReplica)
+		setRole(core.RoleReplica)
 		s := r.proxy.Open("own")
-		time.AfterFunc(300*time.Millisecond, func() { demote(core.RolePrimary) })
+		time.AfterFunc(300*time.Millisecond, func() { setRole(core.RolePrimary) })
 		began := time.Now()
 		r.must(s, VerbWrite, "WRITE 1")
 		assert.Assert(t, time.Since(began) < 400*time.Millisecond)
 
-		demote(core.RoleReplica)
+		setRole(core.RoleReplica)
 		for time.Since(began) < 5*time.Second {
 			assert.Equal(t, r.do(s, VerbWrite, "WRITE 2").Fault, core.FaultBusy)
 			time.Sleep(10 * time.Millisecond)
--- a/core/proxy/single.go
+++ b/core/proxy/single.go
@@ -148,7 +148,8 @@
 	return Reply{Fault: core.FaultBusy, Text: "the primary refused: " + ans.Fault.String()}, retryOnChange
 }
 
-// answerDeadline is until when to wait for an answer before a read is retried on another upstream.
+// answerDeadline returns the time until which to wait for an answer. After it, a read is retried on
+// another upstream.
 func (s *Session) answerDeadline(w *work, n *node) time.Time {
 	if w.write {
 		return w.deadline
--- a/core/proxy/tx.go
+++ b/core/proxy/tx.go
@@ -12,10 +12,10 @@
 type tx struct {
 	readOnly bool
 	failed   bool
-	// aborted is the reason that the next statement reports.
-	aborted string
-	held    *heldConn
-	wrote   bool
+	// abortReason is the reason of an abort until a statement has reported it.
+	abortReason string
+	held        *heldConn
+	wrote       bool
 }
 
 // rollback rolls the transaction back on the upstream and releases its connection.
--- a/core/proxy/work.go
+++ b/core/proxy/work.go
@@ -20,7 +20,7 @@
 	// retryDelay is the wait before a retry if the first try failed immediately.
 	retryDelay = 10 * time.Millisecond
 	// hedgeLatencyFactor and minHedgeDelay define when a read is retried on another upstream: after
-	// this multiple of the average latency, but not before the minimum.
+	// this multiple of the average latency plus two round trips, but not before the minimum.
 	hedgeLatencyFactor = 5
 	minHedgeDelay      = 150 * time.Millisecond
 	// readIndexTimeout limits a read index request: a few round trips between regions.
@@ -45,8 +45,8 @@
 	receivedAt core.Instant
 	began      time.Time
 	deadline   time.Time
-	// startBy is until when the statement may wait for a slot and a connection. After about half of its
-	// time, another VM serves the caller better than waiting here.
+	// startBy is the time until which the statement may wait for a slot and a connection. After about
+	// half of its time, the caller is served better by trying another VM than by waiting here.
 	startBy time.Time
 	// tried are the upstreams on which the statement failed.
 	tried []*node
@@ -96,12 +96,14 @@
 	return c
 }
 
-// target is the upstream for a statement and what it has to prove.
+// target is the upstream chosen for a statement, and the condition under which the statement may run
+// there.
 type target struct {
 	node *node
 	// strict asks for a proof of leadership before the statement runs.
 	strict bool
-	await  core.Position
+	// await is the position that the upstream must have; zero if none is required.
+	await core.Position
 }
 
 // chooseTarget chooses the upstream. It returns false if none can serve the statement now.
@@ -182,8 +184,8 @@
 // runReserve is the part of the statement timeout that is kept for running the statement.
 func (w *work) runReserve() time.Duration { return w.route.StatementTimeout / 8 }
 
-// awaitPrimary waits for a change such as a new primary, unless the group has been without one for
-// longer than maxOutageWait.
+// awaitPrimary waits for a change such as a new primary, and reports whether to try again. It doesn't wait
+// if the group has been without a primary for longer than maxOutageWait.
 func (s *Session) awaitPrimary(ctx context.Context, w *work) bool {
 	if w.group.noteOutage(time.Now()) > maxOutageWait {
 		return false
@@ -207,7 +209,7 @@
 	return true
 }
 
-// heldConn is a connection with a slot of its upstream's queue.
+// heldConn is a connection in use, with a slot of its upstream's queue unless slot is nil.
 type heldConn struct {
 	node   *node
 	handle *pool.Handle[*conn]
@@ -308,8 +310,8 @@
 	h.free(fault == core.FaultNone)
 }
 
-// rollbackAndFree releases the slot and the connection after a refused BEGIN or for a transaction to
-// roll back. It sends ROLLBACK unless the connection is idle.
+// rollbackAndFree rolls back a transaction, or what a refused BEGIN left, and releases the slot and the
+// connection. It sends no ROLLBACK if the status is already TxIdle.
 func (h *heldConn) rollbackAndFree(status core.TxStatus, fault core.Fault) {
 	if h.isRelayRefusal(fault) {
 		h.discard()
