--- a/core/queue/item.go
+++ b/core/queue/item.go
@@ -41,7 +41,7 @@
 // Refusal is the error of a request that can't start in time. The request has not run.
 type Refusal struct {
 	Reason string
-	// RetryAfter is a hint when a retry has a chance; 0 means no hint.
+	// RetryAfter suggests how long to wait before a retry; 0 means no suggestion.
 	RetryAfter time.Duration
 }
 
--- a/core/queue/shares.go
+++ b/core/queue/shares.go
@@ -25,7 +25,8 @@
 const (
 	// overloadTime is how long a kind counts as overloaded after a refusal because of its expected wait.
 	overloadTime = 100 * time.Millisecond
-	// overloadWaitDivisor divides the accepted wait of an overloaded kind.
+	// overloadWaitDivisor divides the accepted wait of an overloaded kind, so that no standing queue
+	// forms.
 	overloadWaitDivisor = 4
 )
 
@@ -46,8 +47,8 @@
 	runningLong int
 	// holdLong tells that no more long statements may start.
 	holdLong bool
-	// vtime is the virtual time of each rank: the highest at which the kind that was furthest behind
-	// has been served.
+	// vtime is the virtual time of each rank, at which kinds that had no work join. It follows the
+	// virtual time of the served kind whenever no waiting kind of the rank is behind it.
 	vtime [core.RankCount]time.Duration
 }
 
@@ -78,8 +79,9 @@
 	return nil
 }
 
-// Next starts an item of the most urgent rank that has credit, or else of the most urgent rank.
-// Statements of open transactions go first within limits.
+// Next starts an item of the most urgent rank that has credit and work waiting. If none has credit, it
+// starts one of the most urgent rank with work waiting. Statements of open transactions go first, within
+// the limits of pickTx.
 func (s *Shares) Next(now time.Time) *Item {
 	if s.isFull() {
 		return nil
@@ -102,7 +104,7 @@
 	}
 	s.startItem(now, it)
 	k.txAdmission.noteStart(it)
-	it.contested = contested(waiting, k.policy.Rank)
+	it.contested = isContested(waiting, k.policy.Rank)
 	it.long = s.isLong(k)
 	if it.long {
 		s.runningLong++
@@ -204,8 +206,8 @@
 	return best
 }
 
-// contested reports whether another rank has work waiting.
-func contested(waiting [core.RankCount]bool, rank core.Rank) bool {
+// isContested reports whether another rank has work waiting.
+func isContested(waiting [core.RankCount]bool, rank core.Rank) bool {
 	for r, ok := range waiting {
 		if ok && core.Rank(r) != rank {
 			return true
--- a/core/queue/shares_test.go
+++ b/core/queue/shares_test.go
@@ -162,7 +162,7 @@
 				it: Item{
 					Kind:    rapid.SampledFrom(kinds).Draw(rt, "kind"),
 					InTx:    rapid.Bool().Draw(rt, "inTx"),
-					OpensTx: rapid.Bool().Draw(rt, "opens"),
+					OpensTx: rapid.Bool().Draw(rt, "opensTx"),
 				},
 				pause:   rapid.IntRange(0, 20).Draw(rt, "pause"),
 				hold:    rapid.IntRange(0, 300).Draw(rt, "hold"),
--- a/core/queue/tx_admission.go
+++ b/core/queue/tx_admission.go
@@ -24,29 +24,29 @@
 }
 
 // cost is the expected slot time of a transaction with statements of the given service time.
-func (o *txAdmission) cost(service time.Duration) time.Duration {
-	return time.Duration((1 + o.followUpCount/max(o.txCount, 1)) * float64(service))
+func (a *txAdmission) cost(service time.Duration) time.Duration {
+	return time.Duration((1 + a.followUpCount/max(a.txCount, 1)) * float64(service))
 }
 
 // noteStart updates the credit and the counts when the item starts.
-func (o *txAdmission) noteStart(it *Item) {
-	cost := o.cost(it.estimate)
-	o.credit = min(o.credit+time.Duration(txShare*float64(it.estimate)), maxTxCredit*cost)
+func (a *txAdmission) noteStart(it *Item) {
+	cost := a.cost(it.estimate)
+	a.credit = min(a.credit+time.Duration(txShare*float64(it.estimate)), maxTxCredit*cost)
 	switch {
 	case it.OpensTx:
-		o.credit = max(o.credit-cost, 0)
-		o.txCount, o.followUpCount = txCountDecay*o.txCount+1, txCountDecay*o.followUpCount
+		a.credit = max(a.credit-cost, 0)
+		a.txCount, a.followUpCount = txCountDecay*a.txCount+1, txCountDecay*a.followUpCount
 	case it.InTx:
-		o.followUpCount++
+		a.followUpCount++
 	}
 }
 
 // isDue reports whether a transaction may begin before single statements.
-func (o *txAdmission) isDue(service time.Duration) bool { return o.credit >= o.cost(service) }
+func (a *txAdmission) isDue(service time.Duration) bool { return a.credit >= a.cost(service) }
 
 // slotTimeAhead returns the slot time that the kind uses before a transaction with this many others
 // ahead of it begins, if single statements wait all the time.
-func (o *txAdmission) slotTimeAhead(others int, service time.Duration) time.Duration {
-	need := time.Duration(others+1)*o.cost(service) - o.credit
+func (a *txAdmission) slotTimeAhead(others int, service time.Duration) time.Duration {
+	need := time.Duration(others+1)*a.cost(service) - a.credit
 	return max(0, time.Duration(float64(need)/txShare))
 }
--- a/core/queue/wait.go
+++ b/core/queue/wait.go
@@ -99,13 +99,13 @@
 }
 
 // itemsBefore returns the number of items before the item in the fifo: all, if it isn't in the fifo.
-func itemsBefore(line fifo, it *Item) int {
-	for i := len(line) - 1; i >= 0; i-- {
-		if line[i] == it {
+func itemsBefore(f fifo, it *Item) int {
+	for i := len(f) - 1; i >= 0; i-- {
+		if f[i] == it {
 			return i
 		}
 	}
-	return len(line)
+	return len(f)
 }
 
 // guaranteedSlots returns the average number of slots that the kind is guaranteed while it has work
