--- a/core/pool/handle.go
+++ b/core/pool/handle.go
@@ -23,7 +23,7 @@
 	lastUsed, lastAnswered time.Time
 }
 
-// Put returns a working connection without a request in progress to the pool.
+// Put returns the connection to the pool. It must work and have no request in progress.
 func (h *Handle[T]) Put() {
 	if h.ended.Swap(true) {
 		return
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -33,7 +33,7 @@
 	backoff      time.Duration
 	retryAt      time.Time
 	// Idle connections that last answered before suspectBefore are checked before their next use, since
-	// a connection failed after that.
+	// another connection failed after that time and they may not answer either.
 	suspectBefore time.Time
 }
 
@@ -95,8 +95,8 @@
 	return p.takeIdle()
 }
 
-// Blocked returns why no new connection can be opened now, or nil: the error of the last dial during
-// its backoff and the next dial, or ErrSlow if a dial in progress is slow.
+// Blocked returns why no new connection can be opened now, or nil. After a failed dial, it returns that
+// error during the backoff and the dial that follows. It returns ErrSlow if a dial in progress is slow.
 func (p *Pool[T]) Blocked() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/core/pool/pool_test.go
+++ b/core/pool/pool_test.go
@@ -197,7 +197,7 @@
 func TestPoolLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limit := rapid.IntRange(1, 5).Draw(rt, "limit")
-		warm := rapid.IntRange(0, 3).Draw(rt, "warm")
+		minIdle := rapid.IntRange(0, 3).Draw(rt, "minIdle")
 		type use struct {
 			timeout, hold int
 			failed        bool
@@ -209,7 +209,7 @@
 				failed:  rapid.Bool().Draw(rt, "failed"),
 			}
 		}), 1, 30).Draw(rt, "uses")
-		runScenario(t, Config[*conn]{Limit: limit, MinIdle: warm}, func(t *testing.T, p *Pool[*conn], s *server) {
+		runScenario(t, Config[*conn]{Limit: limit, MinIdle: minIdle}, func(t *testing.T, p *Pool[*conn], s *server) {
 			ended := make(chan struct{})
 			for _, u := range uses {
 				go func() {
