--- a/core/fresh/fresh_test.go
+++ b/core/fresh/fresh_test.go
@@ -32,8 +32,8 @@
 	assert.Assert(t, !ok, "a sample from before the instant proves nothing")
 }
 
-// Guards against using a sample that was asked before the instant when samples are close together, old, out
-// of order or more than the tracker keeps.
+// Guards against using a sample that was asked before the instant when samples are close together, old,
+// out of order or more than the tracker keeps.
 func TestMinPositionWithRandomSamples(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tr Tracker
