--- a/core/place/place.go
+++ b/core/place/place.go
@@ -62,7 +62,7 @@
 	tierLeaving
 )
 
-// insertRanked inserts the candidates into best, which is sorted and limited to its capacity.
+// insertRanked inserts the candidates into best in order of preference and drops those beyond its capacity.
 func insertRanked(seed uint64, domain core.FailureDomain, alive, best []core.VM, scores []score) []core.VM {
 	for i := range alive {
 		vm := &alive[i]
