--- a/core/table/editor_test.go
+++ b/core/table/editor_test.go
@@ -115,7 +115,7 @@
 			assert.NilError(t, err)
 			time.Sleep(time.Minute)
 			assert.NilError(t, p.SetFault(kvsim.FaultStale, stale))
-			assert.NilError(t, p.SetFault(kvsim.FaultLost, "1"))
+			assert.NilError(t, p.SetFault(kvsim.FaultLostAnswer, "1"))
 			edit := Edit{ID: "second", Base: first.Version, Table: mustParse(t, quote2)}
 			for range 2 {
 				got, err := p.editor().Apply(t.Context(), edit)
@@ -141,7 +141,7 @@
 		assert.Assert(t, time.Since(start) < 20*time.Second)
 
 		assert.NilError(t, p.ClearFault(kvsim.FaultDown))
-		assert.NilError(t, p.SetFault(kvsim.FaultLost, "1"))
+		assert.NilError(t, p.SetFault(kvsim.FaultLostAnswer, "1"))
 		cut := NewEditor(EditorConfig{Store: p.store, Attempts: 1})
 		_, err = cut.Apply(t.Context(), edit)
 		assert.Assert(t, errors.As(err, &unknown), "%v", err)
@@ -201,7 +201,7 @@
 				play(t, p, fault)
 				time.Sleep(700 * time.Millisecond)
 			}
-			for _, fault := range []string{kvsim.FaultDown, kvsim.FaultLost, kvsim.FaultStale} {
+			for _, fault := range []string{kvsim.FaultDown, kvsim.FaultLostAnswer, kvsim.FaultStale} {
 				assert.NilError(t, p.ClearFault(fault))
 			}
 			all := map[core.EditID]error{}
@@ -217,7 +217,7 @@
 
 func play(t *testing.T, p platform, fault string) {
 	steps := map[string][2]string{
-		"lost": {kvsim.FaultLost, "1"}, "stale": {kvsim.FaultStale, "2s"}, "fresh": {kvsim.FaultStale, "0"},
+		"lost": {kvsim.FaultLostAnswer, "1"}, "stale": {kvsim.FaultStale, "2s"}, "fresh": {kvsim.FaultStale, "0"},
 		"down": {kvsim.FaultDown, "true"}, "up": {kvsim.FaultDown, "false"},
 	}
 	if s, ok := steps[fault]; ok {
--- a/io/dbconn/fault_test.go
+++ b/io/dbconn/fault_test.go
@@ -73,13 +73,13 @@
 		cancel   bool
 		want     error
 	}{
-		{name: "late answer", fault: dbsim.FaultLate, value: "300ms", want: context.DeadlineExceeded},
-		{name: "late answer, request's deadline", fault: dbsim.FaultLate, value: "300ms", deadline: true, want: context.DeadlineExceeded},
-		{name: "canceled", fault: dbsim.FaultLate, value: "300ms", cancel: true, want: context.Canceled},
+		{name: "late answer", fault: dbsim.FaultLateAnswer, value: "300ms", want: context.DeadlineExceeded},
+		{name: "late answer, request's deadline", fault: dbsim.FaultLateAnswer, value: "300ms", deadline: true, want: context.DeadlineExceeded},
+		{name: "canceled", fault: dbsim.FaultLateAnswer, value: "300ms", cancel: true, want: context.Canceled},
 		{name: "silent connection", fault: dbsim.FaultSilent, value: "callers", want: context.DeadlineExceeded},
 		{name: "cut off", fault: dbsim.FaultCut, value: "both@1s", want: context.DeadlineExceeded},
 		{name: "frozen", fault: dbsim.FaultFreeze, value: "on@1s", want: context.DeadlineExceeded},
-		{name: "answer lost", fault: dbsim.FaultLose, value: "commit", want: nil},
+		{name: "answer lost", fault: dbsim.FaultLoseAnswer, value: "commit", want: nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -112,7 +112,7 @@
 				_, err = within(ctx, limit, c, next)
 				assert.ErrorIs(t, err, errUnusable)
 				assert.Assert(t, !next.Attempt.IsSent())
-				assert.NilError(t, srv.Fault(dbsim.FaultLate, "off"))
+				assert.NilError(t, srv.Fault(dbsim.FaultLateAnswer, "off"))
 				fresh, err := up.Dial(ctx)
 				assert.NilError(t, err)
 				answer, err := within(ctx, limit, fresh, next)
@@ -140,10 +140,10 @@
 		assert.ErrorIs(t, status(), context.DeadlineExceeded)
 		n.HealBoth("entry-1", "berth-1")
 		assert.NilError(t, status())
-		assert.NilError(t, srv.Fault(dbsim.FaultLose, "status"))
+		assert.NilError(t, srv.Fault(dbsim.FaultLoseAnswer, "status"))
 		assert.NilError(t, status(), "a status may be asked again")
 		for i, name := range []string{"prepare", "promote", "follow"} {
-			assert.NilError(t, srv.Fault(dbsim.FaultLose, name))
+			assert.NilError(t, srv.Fault(dbsim.FaultLoseAnswer, name))
 			term := core.Term(2)
 			calls := []func() (core.UpstreamStatus, error){
 				func() (core.UpstreamStatus, error) { return up.Prepare(ctx, term) },
--- a/io/store/store_test.go
+++ b/io/store/store_test.go
@@ -97,7 +97,7 @@
 		sim := kvsim.New(kvsim.Config{})
 		s := newStore(t, sim)
 		ctx := t.Context()
-		assert.NilError(t, sim.SetFault(kvsim.FaultLost, "1"))
+		assert.NilError(t, sim.SetFault(kvsim.FaultLostAnswer, "1"))
 		_, err := s.CompareAndSwap(ctx, key, []byte("a"), 0, "")
 		var failed *CallError
 		assert.Assert(t, errors.As(err, &failed), "%v", err)
--- a/stand/dbsim/fault.go
+++ b/stand/dbsim/fault.go
@@ -77,16 +77,16 @@
 	FaultCut = "cut"
 	// FaultFreeze stops the upstream like a paused process.
 	FaultFreeze = "freeze"
-	// FaultLate delays each answer by the duration.
-	FaultLate = "late"
+	// FaultLateAnswer delays each answer by the duration.
+	FaultLateAnswer = "late"
 	// FaultSilent makes the open connections of callers, upstreams or both go silent for good. New
 	// connections work.
 	FaultSilent = "silent"
 	// FaultSlow multiplies service times and delays by the factor.
 	FaultSlow = "slow"
-	// FaultLose loses the next answer to prepare, promote, follow, status or commit, after it took
+	// FaultLoseAnswer loses the next answer to prepare, promote, follow, status or commit, after it took
 	// effect. The connection is closed, or goes silent with the suffix :silent.
-	FaultLose = "lose"
+	FaultLoseAnswer = "lose"
 	// FaultLeaving makes the status report that the upstream is leaving.
 	FaultLeaving = "leaving"
 	// FaultShipLag delays entries on their way into the replica's log.
@@ -172,7 +172,7 @@
 		return f.setCut(value)
 	case FaultFreeze:
 		f.frozen = value != "off"
-	case FaultLate:
+	case FaultLateAnswer:
 		f.late, err = parseLag(value)
 	case FaultSlow:
 		f.slow, err = parseFactor(value)
@@ -182,7 +182,7 @@
 		f.applyLag, err = parseLag(value)
 	case FaultSilent:
 		return f.setSilent(value)
-	case FaultLose:
+	case FaultLoseAnswer:
 		return f.setLose(value)
 	default:
 		err = sqlErrorf(stateBadParameter, "there is no fault %q", name)
--- a/stand/dbsim/fuzz_test.go
+++ b/stand/dbsim/fuzz_test.go
@@ -51,7 +51,7 @@
 func FuzzFault(f *testing.F) {
 	f.Add(FaultCut, "callers:in@1ms")
 	f.Add(FaultSlow, "2.5")
-	f.Add(FaultLose, "prepare:silent")
+	f.Add(FaultLoseAnswer, "prepare:silent")
 	f.Fuzz(func(t *testing.T, name, value string) {
 		srv := Config{}.New(NewPrimary(1))
 		assert.Equal(t, CheckFault(name, value) == nil, srv.Fault(name, value) == nil)
--- a/stand/dbsim/session_test.go
+++ b/stand/dbsim/session_test.go
@@ -114,7 +114,7 @@
 		{FaultCut, "both:out@150ms", true, true},
 		{FaultCut, "upstreams@150ms", false, true},
 		{FaultFreeze, "on@150ms", true, true},
-		{FaultLate, "150ms", true, true},
+		{FaultLateAnswer, "150ms", true, true},
 		{FaultSlow, "15@1s", true, true},
 		{FaultSilent, "callers", true, false},
 	}
@@ -145,8 +145,8 @@
 func TestFaultValues(t *testing.T) {
 	srv := Config{}.New(NewPrimary(1))
 	for _, f := range [][2]string{
-		{"nope", "on"}, {FaultCut, "nobody"}, {FaultCut, "callers:up"}, {FaultLate, "soon"}, {FaultSlow, "0"},
-		{FaultLose, "select"}, {FaultFreeze, "on@never"}, {FaultSilent, "x"},
+		{"nope", "on"}, {FaultCut, "nobody"}, {FaultCut, "callers:up"}, {FaultLateAnswer, "soon"}, {FaultSlow, "0"},
+		{FaultLoseAnswer, "select"}, {FaultFreeze, "on@never"}, {FaultSilent, "x"},
 	} {
 		assert.Assert(t, srv.Fault(f[0], f[1]) != nil, "%v", f)
 	}
--- a/stand/kvsim/faults.go
+++ b/stand/kvsim/faults.go
@@ -14,8 +14,8 @@
 	FaultDown = "down"
 	// FaultSlow delays every call. Value: a duration.
 	FaultSlow = "slow"
-	// FaultLost loses the answers of writes after they took effect. Value: how many.
-	FaultLost = "lost"
+	// FaultLostAnswer loses the answers of writes after they took effect. Value: how many.
+	FaultLostAnswer = "lost"
 	// FaultStale answers reads from a place that lags. Value: a duration up to 2 minutes.
 	FaultStale = "stale"
 	// FaultListLag makes the list of VMs lag. Value: a duration up to 2 minutes.
@@ -68,7 +68,7 @@
 		err = f.setDown(value)
 	case FaultSlow:
 		f.slow, err = parseLag(value, off)
-	case FaultLost:
+	case FaultLostAnswer:
 		f.lost, err = strconv.Atoi(value)
 	case FaultStale:
 		f.stale, err = parseLag(value, off)
