--- a/io/hop/client.go
+++ b/io/hop/client.go
@@ -16,12 +16,12 @@
 
 // Conn is a connection to the owner of an upstream. It implements core.LineConn.
 type Conn struct {
-	conn          net.Conn
-	in            *bufio.Reader
-	out           *bufio.Writer
-	dec           *gob.Decoder
-	enc           *gob.Encoder
-	helloPosition core.Position
+	conn            net.Conn
+	in              *bufio.Reader
+	out             *bufio.Writer
+	dec             *gob.Decoder
+	enc             *gob.Encoder
+	welcomePosition core.Position
 	// ownerStopping is set once the owner has sent a goodbye.
 	ownerStopping bool
 	readDeadline  time.Time
@@ -65,12 +65,12 @@
 	if w.Fault != core.FaultNone {
 		return &core.RefusedError{Upstream: upstream, Message: "owner refused: " + w.Fault.String()}
 	}
-	c.helloPosition = w.Position
+	c.welcomePosition = w.Position
 	return core.ErrPeer.Wrap(c.conn.SetDeadline(time.Time{}))
 }
 
 // InitialPosition implements core.LineConn.
-func (c *Conn) InitialPosition() core.Position { return c.helloPosition }
+func (c *Conn) InitialPosition() core.Position { return c.welcomePosition }
 
 // Send implements core.LineConn.
 func (c *Conn) Send(cmds []core.Command) error {
--- a/io/hop/server.go
+++ b/io/hop/server.go
@@ -31,7 +31,7 @@
 // Relay runs the commands of one connection on an upstream that this entry VM owns. It needs no
 // locking: one goroutine uses it at a time.
 type Relay interface {
-	// Execute runs one command until the deadline.
+	// Execute runs one command, at most until the deadline.
 	Execute(ctx context.Context, cmd core.Command, deadline time.Time) core.Answer
 	// Pause is called after the last command of each batch, so that a transaction can give up its slot
 	// until its next statement arrives.
