--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -97,6 +97,7 @@
 	return core.Result{Status: core.TxIdle, Position: core.Position{Term: 2, Offset: 7}, Upstream: "berth-1"}, nil
 }
 
+// Guards against answers that reach another request on a reused connection, and against lost positions.
 func TestRelayPassesRequestsAndAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		exec := start(t, echo)
