--- a/io/front/answer.go
+++ b/io/front/answer.go
@@ -18,8 +18,8 @@
 	flushSize = 32 << 10
 	// maxPooledBufferSize is the largest capacity of a write buffer that goes back to the pool.
 	maxPooledBufferSize = 128 << 10
-	// stallTimeout is the time after a request's deadline in which a caller must still read its answer.
-	// It is limited because the request holds an upstream connection meanwhile.
+	// stallTimeout is how long after a request's deadline a caller may still read its answer. Until the
+	// answer has been written, the request holds an upstream connection.
 	stallTimeout = time.Second
 )
 
@@ -154,7 +154,7 @@
 		return
 	}
 	ce := asCallerError(err)
-	a.s.srv.metrics.failed(ce.State)
+	a.s.srv.metrics.countError(ce.State)
 	a.put(ce.response())
 	a.failed = true
 }
@@ -163,7 +163,7 @@
 func (a *answer) fatal(err *callerError) {
 	resp := err.response()
 	resp.Severity, resp.SeverityUnlocalized = "FATAL", "FATAL"
-	a.s.srv.metrics.failed(err.State)
+	a.s.srv.metrics.countError(err.State)
 	a.put(resp)
 	a.failed = true
 }
--- a/io/front/connection_test.go
+++ b/io/front/connection_test.go
@@ -265,6 +265,8 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}
 }
 
+// Guards against encrypted connections that fail on large requests or don't notice Drain, and against
+// a server without TLS that doesn't refuse it.
 func TestTLS(t *testing.T) {
 	srv := startServer(t, func(c *Config) {
 		c.TLS = &tls.Config{Certificates: []tls.Certificate{certificate(t)}, MinVersion: tls.VersionTLS12}
--- a/io/front/metrics.go
+++ b/io/front/metrics.go
@@ -43,8 +43,8 @@
 	return m
 }
 
-// failed counts an error that the listener itself reports, by SQLSTATE.
-func (m *metrics) failed(state string) {
+// countError counts an error that the listener itself reports, by SQLSTATE.
+func (m *metrics) countError(state string) {
 	m.mu.RLock()
 	c := m.errors[state]
 	m.mu.RUnlock()
--- a/io/front/params.go
+++ b/io/front/params.go
@@ -27,12 +27,13 @@
 	value        string
 	// synonyms lists further values with the same meaning, normalized.
 	synonyms []string
-	any      bool
+	// anyValue is set if every value is accepted.
+	anyValue bool
 }
 
 // fixedParams holds the fixed parameters by their lower-case names.
 var fixedParams = map[string]fixedParam{
-	"application_name":            {reportedName: "application_name", any: true},
+	"application_name":            {reportedName: "application_name", anyValue: true},
 	"client_encoding":             {reportedName: "client_encoding", value: "UTF8", synonyms: []string{"utf-8", "unicode"}},
 	"server_encoding":             {reportedName: "server_encoding", value: "UTF8"},
 	"datestyle":                   {reportedName: "DateStyle", value: "ISO, MDY", synonyms: []string{"iso"}},
@@ -64,7 +65,7 @@
 }
 
 func (p fixedParam) accepts(v string) bool {
-	if p.any {
+	if p.anyValue {
 		return true
 	}
 	v = normalize(v)
--- a/io/front/params_test.go
+++ b/io/front/params_test.go
@@ -150,6 +150,8 @@
 	assert.ErrorContains(t, err, "unsupported protocol version 2.0")
 }
 
+// Guards against accepting invalid parameters at start-up, and against closing the connection after a
+// message that is too large.
 func TestStartupRefusals(t *testing.T) {
 	srv := startServer(t, func(c *Config) { c.MaxMessage = 1000 })
 	for params, state := range map[string]string{
--- a/io/front/pgx_test.go
+++ b/io/front/pgx_test.go
@@ -32,6 +32,8 @@
 	}
 }
 
+// Guards against a driver's transaction that commits without reporting its position, or that still accepts
+// statements after one has failed.
 func TestPgxTransaction(t *testing.T) {
 	srv := startServer(t)
 	conn := srv.connect(t, "")
--- a/io/front/server.go
+++ b/io/front/server.go
@@ -40,7 +40,7 @@
 	// TLSRequired refuses callers that don't ask for TLS.
 	TLSRequired bool
 	Log         log.Logger
-	// Metrics receives the counters and histograms; nil discards them.
+	// Metrics receives the counters and histograms, whose names are in Pascal case; nil discards them.
 	Metrics tally.Scope
 	// DefaultKind is the kind of requests for which the caller sets none.
 	DefaultKind core.Kind
--- a/io/front/session.go
+++ b/io/front/session.go
@@ -360,7 +360,7 @@
 func (s *session) fatal(err *callerError) {
 	resp := err.response()
 	resp.Severity, resp.SeverityUnlocalized = "FATAL", "FATAL"
-	s.srv.metrics.failed(err.State)
+	s.srv.metrics.countError(err.State)
 	a := newAnswer(s, nil)
 	a.put(resp)
 	_ = a.flush()
--- a/io/front/session_test.go
+++ b/io/front/session_test.go
@@ -40,7 +40,7 @@
 
 // Guards against a Query that runs although it follows an error, after which everything up to Sync must
 // be ignored.
-func TestQueryBehindError(t *testing.T) {
+func TestQueryAfterError(t *testing.T) {
 	srv := startServer(t)
 	d := newDialogue(t, srv, nil)
 	d.ready(1)
@@ -54,7 +54,7 @@
 }
 
 // Guards against a Query after Flush that runs inside the transaction which the Flush opened.
-func TestQueryBehindFlush(t *testing.T) {
+func TestQueryAfterFlush(t *testing.T) {
 	srv := startServer(t)
 	d := newDialogue(t, srv, nil)
 	d.ready(1)
--- a/io/front/startup_test.go
+++ b/io/front/startup_test.go
@@ -16,8 +16,8 @@
 	"snipewall/core"
 )
 
-// Guards against packets other than a start-up message that get no answer although the protocol
-// defines one, or no error.
+// Guards against requests for encryption that get no answer, and against invalid start-up packets that
+// get no error.
 func TestStartupPackets(t *testing.T) {
 	srv := startServer(t, func(c *Config) { c.StartupTimeout = 500 * time.Millisecond })
 	ssl, gss := &pgproto3.SSLRequest{}, &pgproto3.GSSEncRequest{}
--- a/io/front/stress_test.go
+++ b/io/front/stress_test.go
@@ -75,7 +75,8 @@
 	}
 }
 
-// checkOwnRows runs queries, cancels some of them, and checks that all rows are its own.
+// checkOwnRows runs queries and checks that all rows are its own. It cancels some queries, after which the
+// driver may close the connection abruptly.
 func checkOwnRows(url string, caller, requests int) error {
 	var conn *pgx.Conn
 	defer func() {
--- a/io/front/unit.go
+++ b/io/front/unit.go
@@ -185,7 +185,8 @@
 }
 
 // policy returns the table's row for the kind. A kind that was removed from the table gets the row of
-// the default kind, but without old data and repetition, which aren't safe for every kind.
+// the default kind, but with AcceptedAge and Idempotent cleared, since reading old data and repeating
+// requests aren't safe for every kind.
 func (s *Server) policy(kind core.Kind) core.KindPolicy {
 	if kind == "" {
 		kind = s.cfg.DefaultKind
--- a/io/front/watch.go
+++ b/io/front/watch.go
@@ -31,7 +31,7 @@
 	return w
 }
 
-// run waits until the caller disconnects, in which case it cancels the request, or sends more.
+// run waits until the caller sends more or disconnects. If it has disconnected, run cancels the request.
 func (w *watcher) run() {
 	defer close(w.done)
 	gone := false
