--- a/io/dbconn/upstream.go
+++ b/io/dbconn/upstream.go
@@ -126,8 +126,8 @@
 		return core.UpstreamStatus{}, core.ErrUpstream.New("upstream %s: control connection is busy: %w", u.cfg.Info.ID, ctx.Err())
 	}
 	defer func() { u.controlConn <- c }()
-	kept := c != nil && c.isUsable()
-	if !kept {
+	reused := c != nil && c.isUsable()
+	if !reused {
 		var err error
 		if c, err = u.replace(ctx, c); err != nil {
 			return core.UpstreamStatus{}, err
@@ -137,7 +137,7 @@
 	if err == nil || isRefusal(err) {
 		return s, err
 	}
-	if !kept || !repeat || ctx.Err() != nil {
+	if !reused || !repeat || ctx.Err() != nil {
 		return s, err
 	}
 	if c, err = u.replace(ctx, c); err != nil {
