--- a/io/ctrl/client.go
+++ b/io/ctrl/client.go
@@ -175,7 +175,7 @@
 func (c *Client) release(conn *idleConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// net/rpc reads all the time, so that a deadline which passes while the connection is idle would
+	// net/rpc always has a read in progress, so a deadline that passes while the connection is idle would
 	// break the connection.
 	if c.closed || conn.conn.SetDeadline(time.Time{}) != nil {
 		_ = conn.rpc.Close()
