--- a/io/store/store.go
+++ b/io/store/store.go
@@ -150,8 +150,8 @@
 	return e, err
 }
 
-// missingIndex returns the index to watch an entry from that doesn't exist. It is at least 1, since a
-// watch with index 0 returns at once.
+// missingIndex returns the index from which to watch an entry that doesn't exist. It is at least 1, since
+// a watch with index 0 returns at once.
 func (s *Store) missingIndex(key string) core.Version {
 	s.mu.Lock()
 	defer s.mu.Unlock()
