--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -30,6 +30,7 @@
 Region = gulf-west
 `
 
+// Guards against omitted keys that don't get their default, and against a misread list of seeds.
 func TestParseFillsDefaults(t *testing.T) {
 	s, err := Parse("vm.ini", []byte(validSettings))
 	assert.NilError(t, err)
--- a/conf/keys.go
+++ b/conf/keys.go
@@ -132,8 +132,8 @@
 		return false
 	}
 	for _, r := range v {
-		isLetter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
-		if !isLetter && !strings.ContainsRune("-_.", r) {
+		isAlphanumeric := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
+		if !isAlphanumeric && !strings.ContainsRune("-_.", r) {
 			return false
 		}
 	}
