--- a/core/owner/answer.go
+++ b/core/owner/answer.go
@@ -51,7 +51,7 @@
 	if a.readOnly {
 		return nil
 	}
-	if failure, ok := msg.(*pgproto3.ErrorResponse); ok && a.isRedirect(failure) {
+	if failure, ok := msg.(*pgproto3.ErrorResponse); ok && a.shouldRedirect(failure) {
 		a.readOnly = true
 		a.buffered = nil
 		return nil
@@ -68,16 +68,16 @@
 	return a.forward(msg)
 }
 
-// isRedirect reports whether the failure means that a request for the primary reached a replica.
-func (a *answer) isRedirect(failure *pgproto3.ErrorResponse) bool {
+// shouldRedirect reports whether the failure means that a request for the primary reached a replica.
+func (a *answer) shouldRedirect(failure *pgproto3.ErrorResponse) bool {
 	return a.redirectable && !a.forwarded && failure.Code == core.StateReadOnly
 }
 
 // flush forwards the buffered messages.
 func (a *answer) flush() error {
-	held := a.buffered
+	messages := a.buffered
 	a.buffered, a.bufferedBytes = nil, 0
-	for _, msg := range held {
+	for _, msg := range messages {
 		if err := a.forward(msg); err != nil {
 			return err
 		}
--- a/core/owner/check.go
+++ b/core/owner/check.go
@@ -18,44 +18,44 @@
 // check decides whether the upstream can serve the request. It waits a limited time for a read index
 // and for a replica to catch up.
 func (o *Owner) check(ctx context.Context, path Path, req *core.Request) (requirement, error) {
-	t := requirement{position: req.Position}
+	need := requirement{position: req.Position}
 	if err := o.runHook(ctx, path, StepCheck, req); err != nil {
-		return t, req.Attempt.Refuse(core.StateUnavailable, err.Error(), 0)
+		return need, req.Attempt.Refuse(core.StateUnavailable, err.Error(), 0)
 	}
 	primary, _, ok := o.cfg.View.Primary()
-	t.primary = ok && primary == o.id
-	if needsPrimary(req) && !t.primary {
-		return t, o.redirect("the request needs the primary")
+	need.primary = ok && primary == o.id
+	if needsPrimary(req) && !need.primary {
+		return need, o.redirect("the request needs the primary")
 	}
-	if err := o.checkLeaving(t.primary); err != nil {
-		return t, err
+	if err := o.checkLeaving(need.primary); err != nil {
+		return need, err
 	}
-	if err := o.checkIndex(ctx, path, req, &t); err != nil {
-		return t, err
+	if err := o.checkIndex(ctx, path, req, &need); err != nil {
+		return need, err
 	}
-	if err := o.checkCatchUp(ctx, path, req, t); err != nil {
-		return t, err
+	if err := o.checkCatchUp(ctx, path, req, need); err != nil {
+		return need, err
 	}
-	return t, o.recheck(req, t)
+	return need, o.recheck(req, need)
 }
 
 // recheck repeats the checks that don't wait, immediately before the request runs.
-func (o *Owner) recheck(req *core.Request, t requirement) error {
-	if t.primary {
-		return o.checkTerm(t.position)
+func (o *Owner) recheck(req *core.Request, need requirement) error {
+	if need.primary {
+		return o.checkTerm(need.position)
 	}
 	status, _, ok := o.cfg.View.Status(o.id)
 	if !ok || status.Role != core.RoleReplica {
 		return o.redirect("the upstream is not known to be a replica")
 	}
-	if !status.Applied.Covers(t.position) {
-		return o.redirectRead(req, t, "the replica has not applied the session's position")
+	if !status.Applied.Covers(need.position) {
+		return o.redirectRead(req, need, "the replica has not applied the session's position")
 	}
 	if req.AcceptedAge <= 0 {
 		return nil
 	}
 	if age, ok := o.cfg.View.Age(o.id); !ok || age > req.AcceptedAge {
-		return o.redirectRead(req, t, "the replica's data is too old")
+		return o.redirectRead(req, need, "the replica's data is too old")
 	}
 	return nil
 }
@@ -95,14 +95,14 @@
 
 // checkIndex obtains a read index if the session's last position is not certain, or if a replica has
 // to return current data.
-func (o *Owner) checkIndex(ctx context.Context, path Path, req *core.Request, t *requirement) error {
-	current := !t.primary && req.AcceptedAge <= 0
+func (o *Owner) checkIndex(ctx context.Context, path Path, req *core.Request, need *requirement) error {
+	current := !need.primary && req.AcceptedAge <= 0
 	if req.Class == core.ClassWrite || req.Class == core.ClassEnd || !req.NeedIndex && !current {
 		return nil
 	}
 	index, err := o.readIndex(ctx, path, req)
 	if err == nil {
-		t.position = t.position.Max(index)
+		need.position = need.position.Max(index)
 		return nil
 	}
 	if req.NeedIndex {
@@ -119,11 +119,11 @@
 }
 
 // checkCatchUp waits until a replica has applied the required position.
-func (o *Owner) checkCatchUp(ctx context.Context, path Path, req *core.Request, t requirement) error {
-	if t.primary || t.position.IsZero() {
+func (o *Owner) checkCatchUp(ctx context.Context, path Path, req *core.Request, need requirement) error {
+	if need.primary || need.position.IsZero() {
 		return nil
 	}
-	if status, _, ok := o.cfg.View.Status(o.id); ok && status.Applied.Covers(t.position) {
+	if status, _, ok := o.cfg.View.Status(o.id); ok && status.Applied.Covers(need.position) {
 		return nil
 	}
 	if err := o.runHook(ctx, path, StepCatchUp, req); err != nil {
@@ -131,12 +131,12 @@
 	}
 	limit := o.cfg.CatchUp[req.Rank]
 	if age, ok := o.cfg.View.Age(o.id); !ok || age > limit {
-		return o.redirectRead(req, t, "the replica is too far behind to wait for it")
+		return o.redirectRead(req, need, "the replica is too far behind to wait for it")
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	if err := o.cfg.View.WaitApplied(ctx, o.id, t.position); err != nil {
-		return o.redirectRead(req, t, "the replica did not catch up: "+err.Error())
+	if err := o.cfg.View.WaitApplied(ctx, o.id, need.position); err != nil {
+		return o.redirectRead(req, need, "the replica did not catch up: "+err.Error())
 	}
 	return nil
 }
@@ -147,10 +147,10 @@
 }
 
 // redirectRead redirects to another replica that can serve the read now, or else to the primary.
-func (o *Owner) redirectRead(req *core.Request, t requirement, reason string) error {
+func (o *Owner) redirectRead(req *core.Request, need requirement, reason string) error {
 	e := o.redirect(reason)
 	for _, info := range o.cfg.Group {
-		if info.ID != o.id && info.ID != e.Primary && o.canRead(info.ID, req, t) {
+		if info.ID != o.id && info.ID != e.Primary && o.canRead(info.ID, req, need) {
 			e.Better = info.ID
 			return e
 		}
@@ -159,9 +159,9 @@
 }
 
 // canRead reports whether the replica is known to satisfy the read.
-func (o *Owner) canRead(id core.UpstreamID, req *core.Request, t requirement) bool {
+func (o *Owner) canRead(id core.UpstreamID, req *core.Request, need requirement) bool {
 	status, _, ok := o.cfg.View.Status(id)
-	if !ok || status.Role != core.RoleReplica || status.Leaving || !status.Applied.Covers(t.position) {
+	if !ok || status.Role != core.RoleReplica || status.Leaving || !status.Applied.Covers(need.position) {
 		return false
 	}
 	if req.AcceptedAge <= 0 {
--- a/core/owner/hedge.go
+++ b/core/owner/hedge.go
@@ -13,10 +13,10 @@
 	// hedgeDelayShare is the part of the remaining time after which a read without any answer gets a
 	// second attempt at the latest.
 	hedgeDelayShare = 0.5
-	// hedgeDelayFactor is a multiple of the kind's service time, which avoids a needless second attempt of
-	// statements that usually take long.
+	// hedgeDelayFactor is the delay as a multiple of the kind's service time, so that statements that
+	// usually take long don't get a second attempt too early.
 	hedgeDelayFactor = 4
-	// minHedgeDelay is the lower limit of the service-time based delay.
+	// minHedgeDelay is the lower limit of the delay that is computed from the service time.
 	minHedgeDelay = 500 * time.Millisecond
 )
 
--- a/core/owner/serve.go
+++ b/core/owner/serve.go
@@ -61,7 +61,7 @@
 
 // serveOnce runs a request through all steps of its path.
 func (o *Owner) serveOnce(ctx context.Context, path Path, req *core.Request, a *answer) (core.Result, error) {
-	t, err := o.check(ctx, path, req)
+	need, err := o.check(ctx, path, req)
 	if err != nil {
 		return core.Result{}, err
 	}
@@ -73,7 +73,7 @@
 	h, err := o.connect(ctx, path, req)
 	if err == nil {
 		// The upstream's role may have changed while the request waited.
-		err = o.recheck(req, t)
+		err = o.recheck(req, need)
 	}
 	if err != nil {
 		if h != nil {
@@ -95,7 +95,7 @@
 		if !opens {
 			o.queue.BeginTx()
 		}
-		return o.keepOpen(ctx, req, h, t.primary, res, a)
+		return o.keepOpen(ctx, req, h, need.primary, res, a)
 	}
 	if res.Status == core.TxIdle {
 		h.Put()
@@ -111,7 +111,7 @@
 	return req.Class == core.ClassBegin || req.Class == core.ClassBeginRead
 }
 
-// endTx ends the count of an open transaction if there was one.
+// endTx reports the end of a transaction to the queue, if the queue counted one as open.
 func (o *Owner) endTx(counted bool) {
 	if counted {
 		o.queue.EndTx()
--- a/core/owner/session.go
+++ b/core/owner/session.go
@@ -25,9 +25,9 @@
 	term core.Term
 	// spans are the spans of this owner's commits in ascending order.
 	spans []span
-	// evicted is the highest offset whose session is no longer known.
-	evicted core.Offset
-	last    map[core.SessionID]core.Offset
+	// maxEvicted is the highest offset whose session is no longer known.
+	maxEvicted core.Offset
+	last       map[core.SessionID]core.Offset
 	// commits holds the recorded commits in the order in which they are evicted.
 	commits []commit
 	// pending counts the running requests that may commit.
@@ -73,7 +73,7 @@
 		return
 	}
 	if p.Term > l.term {
-		l.term, l.spans, l.commits, l.evicted = p.Term, nil, nil, 0
+		l.term, l.spans, l.commits, l.maxEvicted = p.Term, nil, nil, 0
 		clear(l.last)
 	}
 	l.spans = addOffset(l.spans, p.Offset)
@@ -91,7 +91,7 @@
 func (l *sessionLog) evictOldest() {
 	old := l.commits[:len(l.commits)/2]
 	for _, c := range old {
-		l.evicted = max(l.evicted, c.offset)
+		l.maxEvicted = max(l.maxEvicted, c.offset)
 		if l.last[c.session] == c.offset {
 			delete(l.last, c.session)
 		}
@@ -139,7 +139,7 @@
 		if index.Offset < s.first {
 			continue
 		}
-		offset := max(s.first-1, l.evicted, l.last[session])
+		offset := max(s.first-1, l.maxEvicted, l.last[session])
 		return core.Position{Term: index.Term, Offset: min(offset, index.Offset)}, true
 	}
 	return index, false
--- a/core/owner/session_test.go
+++ b/core/owner/session_test.go
@@ -33,7 +33,7 @@
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			session := core.SessionID(fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "session")))
-			switch rapid.SampledFrom([]string{"own", "own", "own", "settle", "settle", "foreign", "lost", "term", "forget"}).Draw(t, "step") {
+			switch rapid.SampledFrom([]string{"own", "own", "own", "settle", "settle", "foreign", "lost", "term", "evict"}).Draw(t, "step") {
 			case "own":
 				l.begin()
 				pending = append(pending, commit{session: session, offset: next})
@@ -53,7 +53,7 @@
 				}
 				term++
 				next++
-			case "forget":
+			case "evict":
 				l.evictOldest()
 			}
 			// Only a commit whose result arrived can have been acknowledged before the index was requested.
@@ -61,7 +61,7 @@
 			for s, offset := range written {
 				p, _ := l.requiredPosition(s, index)
 				if p.Offset < offset || p.Offset > index.Offset {
-					t.Fatalf("session %s wrote %d, index %v, needed %v, spans %v", s, offset, index, p, l.spans)
+					t.Fatalf("session %s wrote %d, index %v, required position %v, spans %v", s, offset, index, p, l.spans)
 				}
 			}
 		}
--- a/core/owner/tx.go
+++ b/core/owner/tx.go
@@ -160,7 +160,8 @@
 	return nil
 }
 
-// end gives up the connection. clean means that no transaction is open on it, so that it can be reused.
+// end returns the connection to the pool if it is clean, that is, no transaction is open on it. Otherwise
+// it closes the connection.
 func (t *tx) end(clean bool) {
 	t.mu.Lock()
 	if t.ended {
