--- a/core/route/choose.go
+++ b/core/route/choose.go
@@ -8,7 +8,7 @@
 	"snipewall/core"
 )
 
-// choose picks the best upstream that has not failed the request yet.
+// choose picks the best upstream among those that are not in failed.
 func (e *execution) choose() (core.UpstreamInfo, bool) {
 	if info, ok := e.group.info(e.redirectTarget); ok {
 		e.redirectTarget = ""
@@ -50,8 +50,8 @@
 	return core.UpstreamInfo{}, false
 }
 
-// Costs of a read on an upstream; the lowest sum wins. The primary is a late choice, since replicas can
-// take reads off it. A leaving upstream comes after it.
+// Costs of a read on an upstream; the lowest sum wins. The primary is chosen after all replicas, even
+// those that are behind, since replicas can take reads off it. A leaving upstream is chosen last.
 const (
 	costSameRegion  = 1
 	costOtherRegion = 2
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -133,7 +133,7 @@
 	out    *trackingWriter
 	// redirectTarget is the upstream that the last redirect named, or empty.
 	redirectTarget core.UpstreamID
-	// failed holds the upstreams that have failed the request since the last backoff.
+	// failed holds the upstreams that refused, redirected or lost the request since the last backoff.
 	failed    []core.UpstreamID
 	redirects int
 	backoff   time.Duration
@@ -269,7 +269,7 @@
 }
 
 // Send implements core.ResponseWriter.
-func (p *trackingWriter) Send(msg pgproto3.BackendMessage) error {
-	p.forwarded = true
-	return p.w.Send(msg)
+func (t *trackingWriter) Send(msg pgproto3.BackendMessage) error {
+	t.forwarded = true
+	return t.w.Send(msg)
 }
