--- a/core/assign/assign.go
+++ b/core/assign/assign.go
@@ -21,7 +21,7 @@
 	// joinWait is how long a starting entry VM waits until it sees other entry VMs. Without the wait it
 	// would consider itself the only one and open connections to all upstreams.
 	joinWait = 2 * time.Second
-	// drainTimeout limits how long an owner that is no longer needed may finish its requests.
+	// drainTimeout limits how long an owner that is being stopped may take to finish its requests.
 	drainTimeout = 10 * time.Second
 )
 
