--- a/core/table/cache_test.go
+++ b/core/table/cache_test.go
@@ -28,11 +28,11 @@
 	afterAlive func()
 }
 
-func (h *fakeMembership) remove(id core.VMID) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.alive = slices.DeleteFunc(slices.Clone(h.alive), func(vm core.VM) bool { return vm.ID == id })
-	h.gen++
+func (m *fakeMembership) remove(id core.VMID) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.alive = slices.DeleteFunc(slices.Clone(m.alive), func(vm core.VM) bool { return vm.ID == id })
+	m.gen++
 }
 
 // fakePeers is the membership as one entry VM sees it.
--- a/core/table/watch.go
+++ b/core/table/watch.go
@@ -21,9 +21,9 @@
 // Run implements core.Service. It loads the table from the store or from peers, whichever answers, and
 // then keeps it up to date.
 func (c *Cache) Run(ctx context.Context) error {
-	asked := make(chan struct{})
+	fetched := make(chan struct{})
 	go func() {
-		defer close(asked)
+		defer close(fetched)
 		c.fetchFromPeers(ctx)
 	}()
 	w := watcher{cache: c}
@@ -37,7 +37,7 @@
 		}
 		w.waitAndPoll(ctx, seen)
 	}
-	<-asked
+	<-fetched
 	return nil
 }
 
@@ -79,11 +79,11 @@
 // isWatcher reports whether this entry VM is one of those in its failure domain that hold a watch.
 func (c *Cache) isWatcher() bool {
 	peers := c.currentPeers()
-	is := peers == nil || place.IsElected(c.cfg.Key, peers.Self(), peers.Alive(), c.cfg.WatchersPerDomain)
+	watching := peers == nil || place.IsElected(c.cfg.Key, peers.Self(), peers.Alive(), c.cfg.WatchersPerDomain)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.watching = is
-	return is
+	c.watching = watching
+	return watching
 }
 
 // pollInterval returns the time until the next poll of an entry VM without a watch, with jitter.
@@ -138,8 +138,9 @@
 	}
 }
 
-// waitAndPoll waits until this entry VM has to hold a watch, or until the next poll is due, which is
-// sooner without a table. No watch was needed at the membership generation seen.
+// waitAndPoll polls the store when the next poll is due, which is sooner without a table. It returns
+// early if this entry VM has to hold a watch. seen is the membership generation for which isWatcher
+// returned false.
 func (w *watcher) waitAndPoll(ctx context.Context, seen uint64) {
 	until := time.Now().Add(w.cache.pollInterval())
 	if w.cache.Version() == 0 {
