--- a/core/stmt/classify.go
+++ b/core/stmt/classify.go
@@ -19,11 +19,13 @@
 	tok  token
 	buf  [maxWordLength]byte
 
+	// beginsRead is set if all transactions that the text opens are read-only.
 	beginsRead bool
 	// aliasExpected is set if the previous word can be followed by an alias with a column list.
 	aliasExpected bool
 	// afterParen is set if the previous token is a closing parenthesis.
-	afterParen         bool
+	afterParen bool
+	// upstreamStatements counts the statements that the listener doesn't execute itself.
 	upstreamStatements int
 }
 
--- a/core/stmt/classify_test.go
+++ b/core/stmt/classify_test.go
@@ -171,7 +171,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		info := Classify(text)
-		// A statement that follows must never be hidden.
+		// A following statement must never be hidden, nor make the classification less strict.
 		if worse := Classify(text + "\n;insert into t values (1)"); worse.Unsupported == nil &&
 			worse.Class == core.ClassRead {
 			t.Fatalf("%q hides an insert: %+v", text, worse)
