--- a/core/line.go
+++ b/core/line.go
@@ -117,7 +117,7 @@
 // LineConn is a connection to an upstream that answers single-line statements in order. It is used
 // by one goroutine at a time.
 type LineConn interface {
-	// Hello returns the position that the upstream reported when the connection was opened.
+	// InitialPosition returns the position that the upstream reported when the connection was opened.
 	InitialPosition() Position
 	// Send writes all commands together, without waiting for answers.
 	Send(cmds []Command) error
