--- a/core/lead/detect.go
+++ b/core/lead/detect.go
@@ -7,136 +7,136 @@
 )
 
 const (
-	// probeAfter is the time without a proof of leadership after which the primary is probed.
+	// probeAfter is how long after the primary was last confirmed it is probed again.
 	probeAfter = 200 * time.Millisecond
-	// failAfter is the number of failed probes in a row that make a primary failed, and failTime the
-	// least time that they must span. Spells in which a primary answers 10 times slower, shorter than
-	// 1 s, must not cause a change.
-	failAfter = 2
-	failTime  = 250 * time.Millisecond
-	// missingTime is how long a group may be without a known primary: one that was just promoted
+	// A primary has failed after minFailedProbes consecutive failed probes that span minFailureTime. A
+	// period below 1 s in which a primary answers 10 times slower must not cause a failover.
+	minFailedProbes = 2
+	minFailureTime  = 250 * time.Millisecond
+	// noPrimaryTimeout is how long a group may be without a known primary. A newly promoted primary
 	// reports itself within this time.
-	missingTime = 900 * time.Millisecond
-	// startTime is how long after the start of this VM a primary must have failed for startFailTime
-	// before it is replaced. If all VMs start at once, connections of before count against its limit
-	// for 3 s and the new ones' set-up keeps it busy.
-	startTime     = 3 * time.Second
-	startFailTime = 1500 * time.Millisecond
-	// othersAfter is how much later VMs without the duty act than those that have it: a change usually
-	// takes less, and each attempt costs calls to the store.
-	othersAfter = 700 * time.Millisecond
+	noPrimaryTimeout = 900 * time.Millisecond
+	// startupPeriod is the time after the start of this VM during which startupFailureTime replaces
+	// minFailureTime. If all VMs start at once, connections from before the start count against the
+	// primary's limit for 3 s, and setting up the new ones keeps it busy.
+	startupPeriod      = 3 * time.Second
+	startupFailureTime = 1500 * time.Millisecond
+	// nonMonitorDelay is how much later than the group's monitors other VMs start a failover. A failover
+	// usually takes less time, and each attempt costs calls to the store.
+	nonMonitorDelay = 700 * time.Millisecond
 )
 
-// Action is what a Detector asks for.
+// Action is a decision of a Detector.
 type Action uint8
 
 // Actions.
 const (
-	// Wait asks for nothing.
+	// Wait means that there is nothing to do.
 	Wait Action = iota
-	// Probe asks whether the primary still leads.
+	// Probe means that the primary must be probed.
 	Probe
-	// Replace asks for another primary.
+	// Replace means that the primary must be replaced.
 	Replace
 )
 
-// Group is what an entry VM knows of a group when it decides.
+// Group is an entry VM's view of a group, the input of a Detector.
 type Group struct {
 	ID core.GroupID
-	// Primary is the upstream that is believed to lead, or empty.
+	// Primary is the last known primary, or empty.
 	Primary core.UpstreamID
-	// Leaving tells that the primary is about to be taken away.
+	// Leaving is set while the primary is about to be removed.
 	Leaving bool
-	// IsMonitor tells that this VM watches the primary all the time. Others do only once it is Suspect:
-	// statements got no answer from it, or it denied to lead.
+	// IsMonitor is set if this VM monitors the primary all the time. Other VMs do so only while it is
+	// Suspect: statements got no answer from it, or it answered that it isn't the primary.
 	IsMonitor, Suspect bool
-	// PrimaryConfirmedAt is when a primary last proved its leadership.
+	// PrimaryConfirmedAt is when a primary last answered that it is the primary.
 	PrimaryConfirmedAt time.Time
-	// Replicas may take over, nearest first.
+	// Replicas are the candidates for promotion, nearest first.
 	Replicas []core.UpstreamID
-	// Members is the number of the group's upstreams, leaving ones included.
+	// Members is the number of upstreams in the group, leaving ones included.
 	Members int
 }
 
-// Detector decides about one group. It is used by one goroutine at a time.
+// Detector decides when the primary of one group is probed and replaced. It is not safe for
+// concurrent use.
 type Detector struct {
-	primary   core.UpstreamID
-	failures  int
-	failedAt  time.Time
-	probing   bool
-	missingAt time.Time
-	leavingAt time.Time
-	// startedAt is when this VM started, or zero if that doesn't matter.
+	primary        core.UpstreamID
+	failures       int
+	failedSince    time.Time
+	probing        bool
+	noPrimarySince time.Time
+	leavingSince   time.Time
+	// startedAt is when this VM started; zero disables startupPeriod.
 	startedAt time.Time
-	// reason explains the last Replace.
+	// reason is the reason of the last Replace.
 	reason string
 }
 
-// Decide returns what to do now. A Probe must be answered by Probed.
+// Decide returns what to do now. After it returned Probe, the caller must call Probed with the result.
 func (d *Detector) Decide(now time.Time, g Group) Action {
 	if g.Primary != d.primary {
 		d.primary, d.failures = g.Primary, 0
 	}
 	wait := time.Duration(0)
 	if !g.IsMonitor {
-		wait = othersAfter
+		wait = nonMonitorDelay
 	}
 	if g.Primary == "" {
-		return d.missing(now, missingTime+wait)
+		return d.decideNoPrimary(now, noPrimaryTimeout+wait)
 	}
-	d.missingAt = time.Time{}
+	d.noPrimarySince = time.Time{}
 	if g.Leaving {
-		return d.leaving(now, wait)
+		return d.decideLeaving(now, wait)
 	}
-	d.leavingAt = time.Time{}
-	if d.failures >= failAfter && now.Sub(d.failedAt) >= d.failTime(now)+wait {
-		if g.PrimaryConfirmedAt.After(d.failedAt) {
+	d.leavingSince = time.Time{}
+	if d.failures >= minFailedProbes && now.Sub(d.failedSince) >= d.requiredFailureTime(now)+wait {
+		if g.PrimaryConfirmedAt.After(d.failedSince) {
 			d.failures = 0
 			return Wait
 		}
 		d.reason = "the primary doesn't answer"
 		return Replace
 	}
-	watched := g.IsMonitor || g.Suspect
-	if d.probing || !watched || now.Sub(g.PrimaryConfirmedAt) < probeAfter {
+	monitored := g.IsMonitor || g.Suspect
+	if d.probing || !monitored || now.Sub(g.PrimaryConfirmedAt) < probeAfter {
 		return Wait
 	}
 	d.probing = true
 	return Probe
 }
 
-func (d *Detector) missing(now time.Time, wait time.Duration) Action {
-	if d.missingAt.IsZero() {
-		d.missingAt = now
+func (d *Detector) decideNoPrimary(now time.Time, wait time.Duration) Action {
+	if d.noPrimarySince.IsZero() {
+		d.noPrimarySince = now
 	}
-	if now.Sub(d.missingAt) < wait {
+	if now.Sub(d.noPrimarySince) < wait {
 		return Wait
 	}
 	d.reason = "the group has no primary"
 	return Replace
 }
 
-// failTime returns how long a primary must have failed.
-func (d *Detector) failTime(now time.Time) time.Duration {
-	if now.Sub(d.startedAt) < startTime {
-		return startFailTime
+// requiredFailureTime returns how long probes must have failed before the primary is replaced.
+func (d *Detector) requiredFailureTime(now time.Time) time.Duration {
+	if now.Sub(d.startedAt) < startupPeriod {
+		return startupFailureTime
 	}
-	return failTime
+	return minFailureTime
 }
 
-// leaving decides for a primary that is about to be taken away.
-func (d *Detector) leaving(now time.Time, wait time.Duration) Action {
-	if d.leavingAt.IsZero() {
-		d.leavingAt = now
+// decideLeaving decides for a primary that is about to be removed.
+func (d *Detector) decideLeaving(now time.Time, wait time.Duration) Action {
+	if d.leavingSince.IsZero() {
+		d.leavingSince = now
 	}
-	if now.Sub(d.leavingAt) < wait {
+	if now.Sub(d.leavingSince) < wait {
 		return Wait
 	}
 	d.reason = "the primary is leaving"
 	return Replace
 }
 
-// Probed records the result of a probe of the upstream that began at the given time.
+// Probed records the result of a probe of the upstream. began is when the probe was started.
 func (d *Detector) Probed(began time.Time, id core.UpstreamID, failed bool) {
 	d.probing = false
 	if id != d.primary {
@@ -147,7 +147,7 @@
 		return
 	}
 	if d.failures == 0 {
-		d.failedAt = began
+		d.failedSince = began
 	}
 	d.failures++
 }
--- a/core/lead/doc.go
+++ b/core/lead/doc.go
@@ -1,15 +1,17 @@
-// Package lead replaces primaries that fail or leave, on a platform that executes promotions under a
-// fencing token.
+// Package lead fails over to a replica when a primary fails or leaves, on a platform that executes
+// promotions under a fencing token.
 //
-// Each entry VM watches each group. A Detector, a plain state machine, decides when to probe the
-// primary and when to replace it. The Driver then takes the group's lease in the store; the version
-// at which the lease's key was created is the fencing token, so that no two holders ever have the
-// same one and a later holder's is higher. It promotes the replica with the newest log among those
-// that answer. A call without an answer is repeated with the same token and target, since it may
-// still be executed. A call that was refused ends the lease: the next try has a new token.
+// Every entry VM runs a Driver for all groups. For each group, a Detector decides when to probe the
+// primary and when to replace it. To replace it, the Driver acquires the group's lease in the store.
+// The version at which the lease's key was created is the fencing token: it is unique, and each later
+// holder has a higher one. The Driver then promotes the replica with the newest log among those that
+// answer. A promotion without an answer is repeated with the same token and target, since the platform
+// may still execute it. A promotion that the fence refused ends the lease, so that the next attempt
+// has a new token.
 //
-// While the store is down nobody can take a lease. A holder goes on until its own lease may have
-// ended, measured on a clock that counts suspension; everybody else waits for the store.
+// While the store is down, no lease can be acquired. The holder of a lease may continue until the
+// lease could have expired, measured on a clock that includes suspend time. Other VMs wait for the
+// store.
 //
 // # Usage
 //
--- a/core/lead/driver.go
+++ b/core/lead/driver.go
@@ -13,51 +13,54 @@
 )
 
 const (
-	// interval is the time between two looks at the groups.
-	interval = 100 * time.Millisecond
-	// probeTime limits a probe: ten times the longest round trip between regions.
-	probeTime = 300 * time.Millisecond
-	// leaseTime is the life of a lease. It also keeps others from replacing a primary again before the
-	// effect of the last change shows.
-	leaseTime = 5 * time.Second
-	// leaseMargin is the part of a lease that is left unused, for the time that a call is on its way.
+	checkInterval = 100 * time.Millisecond
+	// probeTimeout is ten times the longest round trip between regions.
+	probeTimeout = 300 * time.Millisecond
+	// leaseTTL also keeps other VMs from replacing a primary again before the last failover shows in
+	// the store.
+	leaseTTL = 5 * time.Second
+	// leaseMargin is the remaining lifetime below which a lease is no longer used, since a call takes
+	// time to arrive.
 	leaseMargin = time.Second
-	// callTries is how often a promotion without an answer is sent.
-	callTries = 3
-	// settleTime is how long the new primary may take to report itself.
-	settleTime = 2 * time.Second
-	// retryMin and retryMax limit the wait after a change that didn't happen. Jitter keeps entry VMs
-	// from taking turns.
-	retryMin = 300 * time.Millisecond
-	retryMax = 900 * time.Millisecond
-	// minorityTime is how long a change waits for answers of most of the group. With fewer, an upstream
-	// that missed the last changes could be promoted; after this time a group without a primary is
-	// the greater harm.
-	minorityTime = 4 * time.Second
-	// startJitter spreads the entry VMs that see the same primary leave.
-	startJitter = 150 * time.Millisecond
-	// keyPrefix starts the keys of the leases.
+	// promoteAttempts is how many times a promotion is sent while no answer arrives.
+	promoteAttempts = 3
+	// reportTimeout is how long the new primary may take to report itself.
+	reportTimeout = 2 * time.Second
+	// The delay between failover attempts is random between minRetryDelay and maxRetryDelay, so that
+	// entry VMs don't keep alternating.
+	minRetryDelay = 300 * time.Millisecond
+	maxRetryDelay = 900 * time.Millisecond
+	// majorityTimeout is how long a failover is put off while fewer than a majority of the group answer.
+	// Without a majority, an upstream that lacks the last commits could be promoted. After this time,
+	// a group without a primary does more harm than that.
+	majorityTimeout = 4 * time.Second
+	// leavingJitter spreads the attempts of the entry VMs that see the same primary leave.
+	leavingJitter = 150 * time.Millisecond
+	// keyPrefix is the prefix of the leases' keys; the group's id follows.
 	keyPrefix = "snipewall/lead/"
 )
 
-// Cluster is what the driver sees of the groups. Implementations are safe for concurrent use.
+// Cluster gives the driver access to the groups. Implementations are safe for concurrent use.
 type Cluster interface {
-	// State returns all groups.
+	// State returns the current view of all groups.
 	State() []Group
-	// Refresh reads the groups from the store, so that State shows nothing older than the call.
+	// Refresh reads the groups from the store. Afterwards State returns nothing older than the call.
 	Refresh(ctx context.Context) error
-	// Probe asks the upstream whether it leads and for the end of its log. An error means that it
-	// didn't answer, ErrNotAsked that it couldn't be asked.
+	// Probe asks the upstream whether it is the primary and for the end of its log. It returns
+	// ErrProbeNotSent if there was no connection; any other error means that the upstream didn't answer.
 	Probe(ctx context.Context, id core.UpstreamID) (ProbeResult, error)
 }
 
-// ProbeResult is an upstream's place in its group.
+// ProbeResult is an upstream's answer to a probe.
 type ProbeResult struct {
+	// Leads is set if the upstream is the primary.
 	Leads bool
-	Log   core.Position
+	// Log is the end of the upstream's log.
+	Log core.Position
 }
 
-// ErrProbeNotSent says that a probe had no connection, which tells nothing about the upstream.
+// ErrProbeNotSent means that there was no connection for a probe, so that nothing is known about the
+// upstream.
 var ErrProbeNotSent = errors.New("no connection for the probe")
 
 // Config configures a Driver.
@@ -67,83 +70,85 @@
 	Promoter core.Promoter
 	Self     core.VMID
 	Log      log.Logger
-	// StartedAt is when this VM started, if it may have done so with all others; zero otherwise.
+	// StartedAt is when this VM started, if all other VMs may have started at the same time; zero
+	// otherwise.
 	StartedAt time.Time
-	// Now reads a clock that counts suspension; nil stands for core.Now.
+	// Now reads a clock that includes suspend time. The default is core.Now.
 	Now func() core.Instant
 }
 
-// Driver is the service "lead".
+// Driver detects failed and leaving primaries and replaces them. It implements core.Service.
 type Driver struct {
 	cfg    Config
 	groups map[core.GroupID]*groupState
-	ends   chan func()
-	tasks  int
+	// completions carries the functions that the tasks return, and running counts the tasks.
+	completions chan func()
+	running     int
 }
 
 type groupState struct {
 	detector Detector
-	// busy tells that a change is under way.
-	busy      bool
-	notBefore time.Time
-	lease     lease
-	// minorityAt is when a change first lacked the answers of most of the group, or zero.
-	minorityAt time.Time
+	// inProgress is set during a failover.
+	inProgress bool
+	retryAt    time.Time
+	lease      lease
+	// minoritySince is when a failover first failed with errMinority, or zero.
+	minoritySince time.Time
 }
 
 var (
-	errMinority = errors.New("most of the group doesn't answer")
-	errNoNeed   = errors.New("the store names another primary")
-	errHeld     = errors.New("another VM holds the group's lease")
+	errMinority        = errors.New("most of the group doesn't answer")
+	errAlreadyReplaced = errors.New("the store names another primary")
+	errLeaseHeld       = errors.New("another VM holds the group's lease")
 )
 
-// lease is the right to promote in a group.
+// lease is a group's lease in the store, which entitles its holder to promote an upstream.
 type lease struct {
-	id    core.LeaseID
-	token core.Version
-	until core.Instant
-	// unanswered is the target of a call without an answer, which may still be executed.
-	unanswered core.UpstreamID
+	id        core.LeaseID
+	token     core.Version
+	expiresAt core.Instant
+	// unansweredTarget is the target of a promotion without an answer, which may still be executed.
+	unansweredTarget core.UpstreamID
 }
 
-// New returns a driver.
+// New returns a driver. It does nothing until Run is called.
 func New(cfg Config) *Driver {
 	if cfg.Now == nil {
 		cfg.Now = core.Now
 	}
-	return &Driver{cfg: cfg, groups: make(map[core.GroupID]*groupState), ends: make(chan func(), 16)}
+	return &Driver{cfg: cfg, groups: make(map[core.GroupID]*groupState), completions: make(chan func(), 16)}
 }
 
 // Name implements core.Service.
 func (d *Driver) Name() string { return "lead" }
 
-// Run watches the groups until ctx ends.
+// Run checks the groups until ctx ends, then waits for its tasks and returns nil.
 func (d *Driver) Run(ctx context.Context) error {
-	ticker := time.NewTicker(interval)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			for ; d.tasks > 0; d.tasks-- {
-				<-d.ends
+			for ; d.running > 0; d.running-- {
+				<-d.completions
 			}
 			return nil
-		case end := <-d.ends:
-			d.tasks--
+		case end := <-d.completions:
+			d.running--
 			end()
 		case <-ticker.C:
-			d.look(ctx)
+			d.checkGroups(ctx)
 		}
 	}
 }
 
-// task runs fn in a goroutine; what it returns runs on the goroutine of Run.
-func (d *Driver) task(fn func() func()) {
-	d.tasks++
-	go func() { d.ends <- fn() }()
+// runAsync runs fn in a new goroutine. The function that fn returns runs in Run's goroutine.
+func (d *Driver) runAsync(fn func() func()) {
+	d.running++
+	go func() { d.completions <- fn() }()
 }
 
-func (d *Driver) look(ctx context.Context) {
+func (d *Driver) checkGroups(ctx context.Context) {
 	now := time.Now()
 	for _, g := range d.cfg.Cluster.State() {
 		st, ok := d.groups[g.ID]
@@ -155,8 +160,8 @@
 		case Probe:
 			d.probe(ctx, st, g)
 		case Replace:
-			if !st.busy && !now.Before(st.notBefore) {
-				d.replace(ctx, st, g)
+			if !st.inProgress && !now.Before(st.retryAt) {
+				d.startFailover(ctx, st, g)
 			}
 		}
 	}
@@ -164,87 +169,87 @@
 
 func (d *Driver) probe(ctx context.Context, st *groupState, g Group) {
 	began := time.Now()
-	d.task(func() func() {
-		ctx, cancel := context.WithTimeout(ctx, probeTime)
+	d.runAsync(func() func() {
+		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
-		at, err := d.cfg.Cluster.Probe(ctx, g.Primary)
-		failed := (err == nil && !at.Leads) || (err != nil && !errors.Is(err, ErrProbeNotSent))
+		result, err := d.cfg.Cluster.Probe(ctx, g.Primary)
+		failed := (err == nil && !result.Leads) || (err != nil && !errors.Is(err, ErrProbeNotSent))
 		if failed {
-			level.Info(d.cfg.Log).Log("Msg", "probe of the primary failed", "Group", g.ID, "Upstream", g.Primary, "Leads", at.Leads, "Err", err)
+			level.Info(d.cfg.Log).Log("Msg", "probe of the primary failed", "Group", g.ID, "Upstream", g.Primary, "Leads", result.Leads, "Err", err)
 		}
 		return func() { st.detector.Probed(began, g.Primary, failed) }
 	})
 }
 
-// replace starts a change of primary.
-func (d *Driver) replace(ctx context.Context, st *groupState, g Group) {
-	st.busy = true
-	c := change{reason: st.detector.reason, held: st.lease}
-	c.minority = !st.minorityAt.IsZero() && time.Since(st.minorityAt) > minorityTime
-	reason := c.reason
-	d.task(func() func() {
-		kept, err := d.change(ctx, g, c)
+func (d *Driver) startFailover(ctx context.Context, st *groupState, g Group) {
+	st.inProgress = true
+	req := failoverRequest{reason: st.detector.reason, held: st.lease}
+	req.allowMinority = !st.minoritySince.IsZero() && time.Since(st.minoritySince) > majorityTimeout
+	reason := req.reason
+	d.runAsync(func() func() {
+		kept, err := d.failOver(ctx, g, req)
 		if err != nil {
 			level.Info(d.cfg.Log).Log("Msg", "primary not replaced", "Group", g.ID, "Reason", reason, "Err", err)
 		}
 		return func() {
-			st.busy = false
+			st.inProgress = false
 			st.lease = kept
-			st.notBefore = time.Now().Add(retryMin + rand.N(retryMax-retryMin))
+			st.retryAt = time.Now().Add(minRetryDelay + rand.N(maxRetryDelay-minRetryDelay))
 			switch {
 			case err == nil:
 				st.detector.failures = 0
-				st.minorityAt = time.Time{}
-			case errors.Is(err, errMinority) && st.minorityAt.IsZero():
-				st.minorityAt = time.Now()
+				st.minoritySince = time.Time{}
+			case errors.Is(err, errMinority) && st.minoritySince.IsZero():
+				st.minoritySince = time.Now()
 			}
 		}
 	})
 }
 
-// change is one change of primary.
-type change struct {
+// failoverRequest holds the parameters of one failover.
+type failoverRequest struct {
 	reason string
-	held   lease
-	// minority allows a change without the answers of most of the group.
-	minority bool
+	// held is the lease left from the previous attempt.
+	held lease
+	// allowMinority allows a failover while only a minority of the group answers.
+	allowMinority bool
 }
 
-// change promotes the best replica and returns the lease that is still held.
-func (d *Driver) change(ctx context.Context, g Group, c change) (lease, error) {
+// failOver promotes the best candidate and returns the lease that this VM still holds.
+func (d *Driver) failOver(ctx context.Context, g Group, req failoverRequest) (lease, error) {
 	if g.Leaving {
-		sleep(ctx, rand.N(startJitter))
+		sleep(ctx, rand.N(leavingJitter))
 	}
-	// Another VM may have replaced the primary already. A VM that can't reach the store would learn of
-	// it only when the store's call has timed out.
+	// Another VM may have replaced the primary already. Without this parallel search, a VM that can't
+	// reach the store would find the new primary only after the call to the store has timed out.
 	found := make(chan struct{})
 	go func(g Group) {
 		defer close(found)
 		d.findLeader(ctx, g)
 	}(g)
 	defer func() { <-found }()
-	held, err := d.acquire(ctx, g.ID, c.held)
+	held, err := d.acquire(ctx, g.ID, req.held)
 	if err != nil {
 		return held, err
 	}
-	// This VM's view may be from before another holder's change: what was read before the lease was
-	// taken doesn't count.
-	g, err = d.current(ctx, g)
+	// This VM's view may be older than the failover of the last lease holder, so the group is read again
+	// under the lease.
+	g, err = d.reloadGroup(ctx, g)
 	if err != nil {
 		return held, err
 	}
-	target, at, err := d.best(ctx, g, c.minority)
-	if err != nil || at.Leads {
+	target, best, err := d.selectCandidate(ctx, g, req.allowMinority)
+	if err != nil || best.Leads {
 		return held, err
 	}
-	if held.unanswered != "" && held.unanswered != target {
-		// The old call would pass the fence after the new one if both had the same token.
+	if held.unansweredTarget != "" && held.unansweredTarget != target {
+		// With the same token, the unanswered promotion could pass the fence after the new one.
 		d.release(ctx, held)
 		if held, err = d.acquire(ctx, g.ID, lease{}); err != nil {
 			return held, err
 		}
 	}
-	level.Info(d.cfg.Log).Log("Msg", "promoting", "Group", g.ID, "Upstream", target, "Position", at.Log, "Old", g.Primary, "Reason", c.reason, "Token", held.token)
+	level.Info(d.cfg.Log).Log("Msg", "promoting", "Group", g.ID, "Upstream", target, "Position", best.Log, "Old", g.Primary, "Reason", req.reason, "Token", held.token)
 	if err := d.promote(ctx, g.ID, target, &held); err != nil {
 		if errors.Is(err, core.ErrFenced) {
 			d.release(ctx, held)
@@ -252,24 +257,25 @@
 		}
 		return held, err
 	}
-	if err := d.settle(ctx, g.ID, target); err != nil {
+	if err := d.waitForPrimary(ctx, g.ID, target); err != nil {
 		return held, err
 	}
 	level.Info(d.cfg.Log).Log("Msg", "primary replaced", "Group", g.ID, "Upstream", target, "Token", held.token)
 	return held, nil
 }
 
-// findLeader looks for an upstream that leads. Another VM may have replaced the primary, and the
-// store's news of it hasn't arrived here; the probes of it are noted where statements are placed.
+// findLeader probes for an upstream that is already the primary, for the case that another VM has
+// replaced the primary and this VM has not read that from the store yet. The result takes effect
+// through Cluster.Probe, which records answers for the routing of statements.
 func (d *Driver) findLeader(ctx context.Context, g Group) {
-	if target, at, err := d.best(ctx, g, true); err == nil && at.Leads {
-		level.Info(d.cfg.Log).Log("Msg", "another upstream leads", "Group", g.ID, "Upstream", target, "Position", at.Log, "Old", g.Primary)
+	if target, best, err := d.selectCandidate(ctx, g, true); err == nil && best.Leads {
+		level.Info(d.cfg.Log).Log("Msg", "another upstream leads", "Group", g.ID, "Upstream", target, "Position", best.Log, "Old", g.Primary)
 	}
 }
 
-// current returns the group as the store shows it now. The error is errNoNeed if another primary
-// than the failed one is known.
-func (d *Driver) current(ctx context.Context, old Group) (Group, error) {
+// reloadGroup returns the group as it is in the store now. It returns errAlreadyReplaced if the store
+// has another primary than the failed one.
+func (d *Driver) reloadGroup(ctx context.Context, old Group) (Group, error) {
 	if err := d.cfg.Cluster.Refresh(ctx); err != nil {
 		return old, err
 	}
@@ -278,28 +284,28 @@
 			continue
 		}
 		if g.Primary != "" && g.Primary != old.Primary {
-			return g, errNoNeed
+			return g, errAlreadyReplaced
 		}
 		return g, nil
 	}
-	return old, errors.New("the group is gone")
+	return old, errors.New("the group no longer exists")
 }
 
-// acquire takes the group's lease, or keeps the one held while it certainly lasts. Its life is
-// counted from before the call that granted it.
+// acquire acquires the group's lease, or returns the held one if it is certainly still valid. The
+// lifetime counts from before the call that granted the lease.
 func (d *Driver) acquire(ctx context.Context, id core.GroupID, held lease) (lease, error) {
 	asked := d.cfg.Now()
-	if held.until.Sub(asked) > leaseMargin {
+	if held.expiresAt.Sub(asked) > leaseMargin {
 		return held, nil
 	}
-	// Most VMs that see a primary fail come second. Reading the key first spares them two calls.
+	// When a primary fails, most VMs find the lease taken. Reading the key first saves them two calls.
 	switch _, err := d.cfg.Store.Get(ctx, keyPrefix+string(id)); {
 	case err == nil:
-		return lease{}, errHeld
+		return lease{}, errLeaseHeld
 	case !errors.Is(err, core.ErrNotFound):
 		return lease{}, err
 	}
-	granted, err := d.cfg.Store.Grant(ctx, leaseTime)
+	granted, err := d.cfg.Store.Grant(ctx, leaseTTL)
 	if err != nil {
 		return lease{}, err
 	}
@@ -308,30 +314,31 @@
 		d.release(ctx, lease{id: granted})
 		return lease{}, err
 	}
-	return lease{id: granted, token: token, until: asked.Add(leaseTime)}, nil
+	return lease{id: granted, token: token, expiresAt: asked.Add(leaseTTL)}, nil
 }
 
 func (d *Driver) release(ctx context.Context, l lease) {
 	if err := d.cfg.Store.Revoke(ctx, l.id); err != nil {
-		level.Info(d.cfg.Log).Log("Msg", "lease not ended, it will expire", "Err", err)
+		level.Info(d.cfg.Log).Log("Msg", "lease not revoked; it will expire", "Err", err)
 	}
 }
 
-// best returns the replica with the newest log among those that answer, or the one that leads. Unless
-// minority is set, most of the group must answer; a primary that is leaving counts as one that does.
-func (d *Driver) best(ctx context.Context, g Group, minority bool) (core.UpstreamID, ProbeResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, probeTime)
+// selectCandidate probes the replicas and returns the one that is the primary, or else the one with the
+// newest log among those that answer. It returns errMinority if at most half of the group answers,
+// unless allowMinority is set. A leaving primary counts as answering.
+func (d *Driver) selectCandidate(ctx context.Context, g Group, allowMinority bool) (core.UpstreamID, ProbeResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	type result struct {
 		index int
-		at    ProbeResult
+		probe ProbeResult
 		err   error
 	}
 	results := make(chan result, len(g.Replicas))
 	for i, id := range g.Replicas {
 		go func() {
-			at, err := d.cfg.Cluster.Probe(ctx, id)
-			results <- result{i, at, err}
+			probe, err := d.cfg.Cluster.Probe(ctx, id)
+			results <- result{i, probe, err}
 		}()
 	}
 	found, answers := -1, 0
@@ -345,49 +352,49 @@
 			continue
 		}
 		answers++
-		if found < 0 || r.at.Leads || best.Log.Less(r.at.Log) || (best.Log == r.at.Log && r.index < found) {
-			found, best = r.index, r.at
+		if found < 0 || r.probe.Leads || best.Log.Less(r.probe.Log) || (best.Log == r.probe.Log && r.index < found) {
+			found, best = r.index, r.probe
 		}
 	}
 	if found < 0 {
-		return "", best, errors.New("no replica answers")
+		return "", best, errors.New("no replica answered a probe")
 	}
-	if !minority && !best.Leads && 2*answers <= g.Members {
+	if !allowMinority && !best.Leads && 2*answers <= g.Members {
 		return "", best, errMinority
 	}
 	return g.Replicas[found], best, nil
 }
 
-// promote makes the call. It is repeated with the same token and target while the answer is missing
-// and the lease certainly lasts.
+// promote asks the platform to promote the target. The call is repeated with the same token and target
+// while there is no answer and the lease is certainly valid.
 func (d *Driver) promote(ctx context.Context, id core.GroupID, target core.UpstreamID, held *lease) error {
 	var err error
-	for range callTries {
-		if held.until.Sub(d.cfg.Now()) <= leaseMargin {
-			return errors.New("the lease may have ended")
+	for range promoteAttempts {
+		if held.expiresAt.Sub(d.cfg.Now()) <= leaseMargin {
+			return errors.New("the lease may have expired")
 		}
 		err = d.cfg.Promoter.Promote(ctx, id, target, d.cfg.Self, held.token)
 		if err == nil || errors.Is(err, core.ErrFenced) {
 			return err
 		}
-		held.unanswered = target
-		sleep(ctx, interval)
+		held.unansweredTarget = target
+		sleep(ctx, checkInterval)
 	}
 	return err
 }
 
-// settle waits until the upstream is known as the primary.
-func (d *Driver) settle(ctx context.Context, id core.GroupID, target core.UpstreamID) error {
-	end := time.Now().Add(settleTime)
+// waitForPrimary waits until the cluster's view shows the upstream as the primary.
+func (d *Driver) waitForPrimary(ctx context.Context, id core.GroupID, target core.UpstreamID) error {
+	end := time.Now().Add(reportTimeout)
 	for time.Now().Before(end) && ctx.Err() == nil {
 		for _, g := range d.cfg.Cluster.State() {
 			if g.ID == id && g.Primary == target {
 				return nil
 			}
 		}
-		sleep(ctx, interval)
+		sleep(ctx, checkInterval)
 	}
-	return errors.New("the new primary doesn't report itself")
+	return errors.New("the new primary did not report itself within 2 s")
 }
 
 func sleep(ctx context.Context, dur time.Duration) {
--- a/core/lead/driver_test.go
+++ b/core/lead/driver_test.go
@@ -14,27 +14,27 @@
 	"snipewall/core"
 )
 
-// world is a group of upstreams, the store and the promotion call, as one VM sees them.
-type world struct {
+// fakeCluster is a group of upstreams, the store and the platform's promotion call, as seen by one VM.
+type fakeCluster struct {
 	mu sync.Mutex
-	// view is what the VM believes, truth what the store holds.
-	view, truth Group
-	standing    map[core.UpstreamID]ProbeResult
-	silent      map[core.UpstreamID]bool
-	// storeDown makes the store's calls fail; leaseHeld makes the lease belong to somebody else.
+	// view is the VM's view of the group, stored the group as it is in the store.
+	view, stored Group
+	probes       map[core.UpstreamID]ProbeResult
+	unresponsive map[core.UpstreamID]bool
+	// storeDown makes calls to the store fail; leaseHeld makes another VM hold the lease.
 	storeDown, leaseHeld bool
-	// slow is the time that a read of the lease's key takes; grants counts new leases.
-	slow   time.Duration
-	grants int
-	// foundAt is when a probe first met another leader than the believed one.
-	foundAt time.Time
-	version core.Version
-	// startedAt is when the VM started, if that matters.
+	// getDelay is the duration of a read of the lease's key; grants counts granted leases.
+	getDelay time.Duration
+	grants   int
+	// leaderProbedAt is when a probe first found a primary other than the one in view.
+	leaderProbedAt time.Time
+	version        core.Version
+	// startedAt is Config.StartedAt.
 	startedAt time.Time
-	// unanswered is the number of promotions that get no answer.
-	unanswered int
-	promotions []promotion
-	released   int
+	// unansweredCalls is the number of promotions that will get no answer.
+	unansweredCalls int
+	promotions      []promotion
+	released        int
 }
 
 type promotion struct {
@@ -44,111 +44,111 @@
 
 var errDown = errors.New("store is down")
 
-func (w *world) State() []Group {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return []Group{w.view}
+func (f *fakeCluster) State() []Group {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return []Group{f.view}
 }
 
-func (w *world) Refresh(context.Context) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.storeDown {
+func (f *fakeCluster) Refresh(context.Context) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.storeDown {
 		return errDown
 	}
-	w.view = w.truth
+	f.view = f.stored
 	return nil
 }
 
-func (w *world) Probe(ctx context.Context, id core.UpstreamID) (ProbeResult, error) {
-	w.mu.Lock()
-	silent, at := w.silent[id], w.standing[id]
-	if at.Leads && !silent && id != w.view.Primary && w.foundAt.IsZero() {
-		w.foundAt = time.Now()
+func (f *fakeCluster) Probe(ctx context.Context, id core.UpstreamID) (ProbeResult, error) {
+	f.mu.Lock()
+	silent, probe := f.unresponsive[id], f.probes[id]
+	if probe.Leads && !silent && id != f.view.Primary && f.leaderProbedAt.IsZero() {
+		f.leaderProbedAt = time.Now()
 	}
-	w.mu.Unlock()
+	f.mu.Unlock()
 	if silent {
 		<-ctx.Done()
 		return ProbeResult{}, ctx.Err()
 	}
-	return at, nil
+	return probe, nil
 }
 
-func (w *world) Promote(_ context.Context, _ core.GroupID, id core.UpstreamID, _ core.VMID, token core.Version) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.promotions = append(w.promotions, promotion{id, token})
-	if w.unanswered > 0 {
-		w.unanswered--
+func (f *fakeCluster) Promote(_ context.Context, _ core.GroupID, id core.UpstreamID, _ core.VMID, token core.Version) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.promotions = append(f.promotions, promotion{id, token})
+	if f.unansweredCalls > 0 {
+		f.unansweredCalls--
 		return errors.New("no answer")
 	}
-	w.lead(id)
+	f.setPrimary(id)
 	return nil
 }
 
-// lead makes the upstream the primary. The caller holds mu.
-func (w *world) lead(id core.UpstreamID) {
+// setPrimary makes the upstream the primary. The caller holds mu.
+func (f *fakeCluster) setPrimary(id core.UpstreamID) {
 	g := Group{ID: "g", Primary: id, Members: 3, IsMonitor: true}
-	for other, at := range w.standing {
-		w.standing[other] = ProbeResult{Leads: other == id, Log: at.Log}
+	for other, at := range f.probes {
+		f.probes[other] = ProbeResult{Leads: other == id, Log: at.Log}
 		if other != id {
 			g.Replicas = append(g.Replicas, other)
 		}
 	}
-	w.truth, w.view = g, g
+	f.stored, f.view = g, g
 }
 
-func (w *world) Grant(context.Context, time.Duration) (core.LeaseID, error) {
-	w.grants++
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.storeDown {
+func (f *fakeCluster) Grant(context.Context, time.Duration) (core.LeaseID, error) {
+	f.grants++
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.storeDown {
 		return "", errDown
 	}
 	return "1", nil
 }
 
-func (w *world) CompareAndSwap(context.Context, string, []byte, core.Version, core.LeaseID) (core.Version, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.leaseHeld {
+func (f *fakeCluster) CompareAndSwap(context.Context, string, []byte, core.Version, core.LeaseID) (core.Version, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.leaseHeld {
 		return 0, core.ErrVersionConflict
 	}
-	w.version++
-	return w.version, nil
+	f.version++
+	return f.version, nil
 }
 
-func (w *world) Revoke(context.Context, core.LeaseID) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.released++
+func (f *fakeCluster) Revoke(context.Context, core.LeaseID) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.released++
 	return nil
 }
 
-func (w *world) Get(context.Context, string) (core.Entry, error) {
-	time.Sleep(w.slow)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (f *fakeCluster) Get(context.Context, string) (core.Entry, error) {
+	time.Sleep(f.getDelay)
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	switch {
-	case w.storeDown:
+	case f.storeDown:
 		return core.Entry{}, errDown
-	case w.leaseHeld:
+	case f.leaseHeld:
 		return core.Entry{}, nil
 	}
 	return core.Entry{}, core.ErrNotFound
 }
 
-func (w *world) Watch(context.Context, string, core.Version) (core.Entry, error) {
+func (f *fakeCluster) Watch(context.Context, string, core.Version) (core.Entry, error) {
 	return core.Entry{}, errDown
 }
-func (w *world) KeepAlive(context.Context, core.LeaseID) error { return nil }
-func (w *world) VMs(context.Context) ([]core.VM, error)        { return nil, nil }
+func (f *fakeCluster) KeepAlive(context.Context, core.LeaseID) error { return nil }
+func (f *fakeCluster) VMs(context.Context) ([]core.VM, error)        { return nil, nil }
 
-func newWorld() *world {
+func newFakeCluster() *fakeCluster {
 	g := Group{ID: "g", Primary: "a", Replicas: []core.UpstreamID{"b", "c"}, Members: 3, IsMonitor: true}
-	return &world{
-		view: g, truth: g, version: 10, silent: map[core.UpstreamID]bool{},
-		standing: map[core.UpstreamID]ProbeResult{
+	return &fakeCluster{
+		view: g, stored: g, version: 10, unresponsive: map[core.UpstreamID]bool{},
+		probes: map[core.UpstreamID]ProbeResult{
 			"a": {Leads: true, Log: core.Position{Term: 1, Offset: 9}},
 			"b": {Log: core.Position{Term: 1, Offset: 7}},
 			"c": {Log: core.Position{Term: 1, Offset: 8}},
@@ -156,117 +156,117 @@
 	}
 }
 
-// run drives the world for a time and returns the promotions that were called.
-func (w *world) run(t *testing.T, d time.Duration) []promotion {
+// run runs a driver for the duration and returns the promotions that were requested.
+func (f *fakeCluster) run(t *testing.T, d time.Duration) []promotion {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	defer cancel()
 	start := time.Now()
 	driver := New(Config{
-		Cluster: w, Store: w, Promoter: w, Self: "vm", Log: log.NewNopLogger(), StartedAt: w.startedAt,
+		Cluster: f, Store: f, Promoter: f, Self: "vm", Log: log.NewNopLogger(), StartedAt: f.startedAt,
 		Now: func() core.Instant { return core.Instant(time.Since(start)) + core.Instant(time.Hour) },
 	})
 	assert.NilError(t, driver.Run(ctx))
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.promotions
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.promotions
 }
 
-// Guards against a primary that fails and isn't replaced, or by a replica that lacks commits which
-// another one has.
+// Guards against a failed primary that is not replaced, or is replaced by a replica that lacks commits
+// that another one has.
 func TestReplaceFailed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.silent["a"] = true
-		got := w.run(t, 2*time.Second)
+		f := newFakeCluster()
+		f.unresponsive["a"] = true
+		got := f.run(t, 2*time.Second)
 		assert.DeepEqual(t, []promotion{{"c", 11}}, got)
 	})
 }
 
 // Guards against replacing a primary that answers.
-func TestKeepHealthy(t *testing.T) {
+func TestHealthyPrimaryKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		assert.Equal(t, len(newWorld().run(t, 5*time.Second)), 0)
+		assert.Equal(t, len(newFakeCluster().run(t, 5*time.Second)), 0)
 	})
 }
 
-// Guards against a VM that returns from a partition and promotes the old primary, whose log lacks
-// what was committed since, before it has read that another upstream leads: hoangphat-seals,
-// trouble-3, 111 commits rolled back.
+// Guards against a VM that returns from a partition and promotes the old primary before it has read
+// from the store that another upstream is the primary: the old primary lacks the commits since then,
+// and 111 of them were rolled back.
 func TestReturnFromPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.storeDown = true
-		w.view = Group{ID: "g", Replicas: []core.UpstreamID{"a", "b", "c"}, Members: 3, IsMonitor: true}
-		w.truth = Group{ID: "g", Primary: "c", Replicas: []core.UpstreamID{"a", "b"}, Members: 3, IsMonitor: true}
-		w.standing["a"] = ProbeResult{Log: core.Position{Term: 1, Offset: 9}}
-		w.silent["c"], w.silent["b"] = true, true
+		f := newFakeCluster()
+		f.storeDown = true
+		f.view = Group{ID: "g", Replicas: []core.UpstreamID{"a", "b", "c"}, Members: 3, IsMonitor: true}
+		f.stored = Group{ID: "g", Primary: "c", Replicas: []core.UpstreamID{"a", "b"}, Members: 3, IsMonitor: true}
+		f.probes["a"] = ProbeResult{Log: core.Position{Term: 1, Offset: 9}}
+		f.unresponsive["c"], f.unresponsive["b"] = true, true
 		go func() {
 			time.Sleep(8 * time.Second)
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			w.storeDown = false
-			w.standing["c"] = ProbeResult{Leads: true, Log: core.Position{Term: 2, Offset: 99}}
-			// The connection to c isn't back in the moment of the change.
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			f.storeDown = false
+			f.probes["c"] = ProbeResult{Leads: true, Log: core.Position{Term: 2, Offset: 99}}
+			// The connection to c is not back yet at the time of the failover.
 			time.AfterFunc(600*time.Millisecond, func() {
-				w.mu.Lock()
-				defer w.mu.Unlock()
-				w.silent["c"] = false
+				f.mu.Lock()
+				defer f.mu.Unlock()
+				f.unresponsive["c"] = false
 			})
 		}()
-		assert.Equal(t, len(w.run(t, 12*time.Second)), 0)
+		assert.Equal(t, len(f.run(t, 12*time.Second)), 0)
 	})
 }
 
-// Guards against a second promotion by a VM whose view is behind, when an upstream already leads.
+// Guards against a second promotion by a VM whose view is stale, when an upstream already is the primary.
 func TestFindLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.silent["a"] = true
-		w.standing["b"] = ProbeResult{Leads: true, Log: core.Position{Term: 2, Offset: 8}}
-		assert.Equal(t, len(w.run(t, 3*time.Second)), 0)
+		f := newFakeCluster()
+		f.unresponsive["a"] = true
+		f.probes["b"] = ProbeResult{Leads: true, Log: core.Position{Term: 2, Offset: 8}}
+		assert.Equal(t, len(f.run(t, 3*time.Second)), 0)
 	})
 }
 
-// Guards against a promotion without a lease: the token could be that of another holder.
+// Guards against a promotion without the lease: its token could be that of another holder.
 func TestNoLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.silent["a"], w.leaseHeld = true, true
-		assert.Equal(t, len(w.run(t, 5*time.Second)), 0)
-		assert.Equal(t, w.grants, 0, "an attempt in vain must not cost a lease")
+		f := newFakeCluster()
+		f.unresponsive["a"], f.leaseHeld = true, true
+		assert.Equal(t, len(f.run(t, 5*time.Second)), 0)
+		assert.Equal(t, f.grants, 0, "a failed attempt must not grant a lease")
 	})
 }
 
-// Guards against promoting the only replica that answers while the others may know more. After
-// minorityTime the group gets a primary all the same.
+// Guards against promoting the only replica that answers while the others may have a newer log. After
+// majorityTimeout it is promoted nevertheless.
 func TestMinority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.silent["a"], w.silent["c"] = true, true
-		assert.Equal(t, len(w.run(t, 4*time.Second)), 0)
-		got := w.run(t, 8*time.Second)
+		f := newFakeCluster()
+		f.unresponsive["a"], f.unresponsive["c"] = true, true
+		assert.Equal(t, len(f.run(t, 4*time.Second)), 0)
+		got := f.run(t, 8*time.Second)
 		assert.Equal(t, len(got), 1)
 		assert.Equal(t, got[0].ID, core.UpstreamID("b"))
 	})
 }
 
-// Guards against an unanswered call that is executed after a newer one to another target: a token is
-// used for one target only once a call with it has got no answer.
+// Guards against an unanswered promotion that the platform executes after a newer one of another target:
+// once a promotion got no answer, its token must not be used for another target.
 func TestUnansweredToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.silent["a"] = true
-		w.unanswered = 3
+		f := newFakeCluster()
+		f.unresponsive["a"] = true
+		f.unansweredCalls = 3
 		go func() {
 			time.Sleep(1500 * time.Millisecond)
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			w.silent["c"], w.silent["a"] = true, false
-			w.standing["a"] = ProbeResult{Log: core.Position{Term: 1, Offset: 9}}
-			w.standing["b"] = ProbeResult{Log: core.Position{Term: 1, Offset: 10}}
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			f.unresponsive["c"], f.unresponsive["a"] = true, false
+			f.probes["a"] = ProbeResult{Log: core.Position{Term: 1, Offset: 9}}
+			f.probes["b"] = ProbeResult{Log: core.Position{Term: 1, Offset: 10}}
 		}()
-		got := w.run(t, 10*time.Second)
+		got := f.run(t, 10*time.Second)
 		targets := map[core.Version]core.UpstreamID{}
 		for _, p := range got {
 			if first, ok := targets[p.Token]; ok {
@@ -278,62 +278,62 @@
 	})
 }
 
-// Guards against keeping a primary that is leaving until it is gone.
+// Guards against a leaving primary that is replaced only once it is gone.
 func TestReplaceLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.view.Leaving, w.truth.Leaving = true, true
-		got := w.run(t, time.Second)
+		f := newFakeCluster()
+		f.view.Leaving, f.stored.Leaving = true, true
+		got := f.run(t, time.Second)
 		assert.DeepEqual(t, []promotion{{"c", 11}}, got)
 	})
 }
 
-// Guards against a VM that reaches neither the store nor the old primary and learns of the new one only
-// after the store's call has timed out: hoangphat-seals trouble-3, 5.4 s to 7 s.
+// Guards against a VM that reaches neither the store nor the old primary and finds the new primary only
+// after the call to the store has timed out, which took 5.4 s to 7 s.
 func TestFindLeaderWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.silent["a"] = true
-		w.standing["b"] = ProbeResult{Leads: true, Log: core.Position{Term: 2, Offset: 8}}
-		w.storeDown, w.slow = true, 1500*time.Millisecond
+		f := newFakeCluster()
+		f.unresponsive["a"] = true
+		f.probes["b"] = ProbeResult{Leads: true, Log: core.Position{Term: 2, Offset: 8}}
+		f.storeDown, f.getDelay = true, 1500*time.Millisecond
 		began := time.Now()
-		assert.Equal(t, len(w.run(t, 3*time.Second)), 0)
-		assert.Assert(t, !w.foundAt.IsZero() && w.foundAt.Sub(began) < 1200*time.Millisecond, "found after %v", w.foundAt.Sub(began))
+		assert.Equal(t, len(f.run(t, 3*time.Second)), 0)
+		assert.Assert(t, !f.leaderProbedAt.IsZero() && f.leaderProbedAt.Sub(began) < 1200*time.Millisecond, "found after %v", f.leaderProbedAt.Sub(began))
 	})
 }
 
-// Guards against all VMs that act on a failed or leaving primary at once: hoangphat-seals-grown scale-1,
-// where 117 attempts in 10 s lost the race for a lease, at three calls to the store each.
-func TestOthersActLater(t *testing.T) {
+// Guards against all VMs starting a failover at once: 117 attempts in 10 s failed to get the lease, each
+// with three calls to the store.
+func TestNonMonitorsActLater(t *testing.T) {
 	for _, leaving := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld()
-			w.silent["a"] = !leaving
-			w.view.IsMonitor, w.truth.IsMonitor = false, false
-			w.view.Suspect, w.truth.Suspect = true, true
-			w.view.Leaving, w.truth.Leaving = leaving, leaving
-			assert.Equal(t, len(w.run(t, othersAfter)), 0)
-			assert.Equal(t, len(w.run(t, 2*time.Second)), 1)
+			f := newFakeCluster()
+			f.unresponsive["a"] = !leaving
+			f.view.IsMonitor, f.stored.IsMonitor = false, false
+			f.view.Suspect, f.stored.Suspect = true, true
+			f.view.Leaving, f.stored.Leaving = leaving, leaving
+			assert.Equal(t, len(f.run(t, nonMonitorDelay)), 0)
+			assert.Equal(t, len(f.run(t, 2*time.Second)), 1)
 		})
 	}
 }
 
-// Guards against a change of all primaries when all VMs come back at once and their new connections keep
-// the upstreams busy: hoangphat-seals-grown trouble-2, seven promotions within 1.6 s of the return.
-func TestPatienceAfterStart(t *testing.T) {
+// Guards against a failover of every group when all VMs come back at once and their new connections
+// keep the upstreams busy: there were seven promotions within 1.6 s.
+func TestSlowFailoverAfterStart(t *testing.T) {
 	for _, back := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld()
-			w.startedAt = time.Now()
-			w.silent["a"] = true
+			f := newFakeCluster()
+			f.startedAt = time.Now()
+			f.unresponsive["a"] = true
 			if back {
 				time.AfterFunc(1200*time.Millisecond, func() {
-					w.mu.Lock()
-					defer w.mu.Unlock()
-					w.silent["a"] = false
+					f.mu.Lock()
+					defer f.mu.Unlock()
+					f.unresponsive["a"] = false
 				})
 			}
-			promotions := len(w.run(t, startTime))
+			promotions := len(f.run(t, startupPeriod))
 			assert.Equal(t, promotions == 0, back, "%d promotions", promotions)
 		})
 	}
