--- a/core/elect/assess.go
+++ b/core/elect/assess.go
@@ -8,41 +8,41 @@
 	"snipewall/core/quorum"
 )
 
-// assessment is what one look at the reports says.
+// assessment is the state of the group as derived from the monitor's reports at one time.
 type assessment struct {
-	// reason is empty while nothing calls for a change.
+	// reason is empty while no change of primary is needed.
 	reason Reason
-	// primary is the index of the reigning primary, which may have failed, or -1.
+	// primary is the index of the current primary, which may have failed, or -1.
 	primary int
-	// term is the primary's term, or the term that a majority has promised if there is no primary.
+	// term is the primary's term or, without a primary, the term that a majority has promised.
 	term core.Term
 	// highest is the highest term that any upstream has promised or logged.
 	highest core.Term
-	// since is when the failure began, ready whether it has lasted long enough to act on.
+	// since is when the reason first applied; ready is set once it has lasted long enough to act on.
 	since time.Time
 	ready bool
-	// repairs are the upstreams that need follow(term, primary).
+	// repairs holds the indexes of the upstreams that must be told to follow the primary.
 	repairs []int
 }
 
-// asksSameChange reports whether b still asks for the change that a asked for. A higher term anywhere
-// means that another driver is at work.
+// asksSameChange reports whether b still calls for the change that a called for. A higher term on any
+// upstream means that another driver is changing the primary.
 func (a assessment) asksSameChange(b assessment) bool {
 	return b.ready && a.reason.class() == b.reason.class() &&
 		a.primary == b.primary && a.term == b.term && a.highest == b.highest
 }
 
-// failed reports whether the upstream is a primary that no longer answers.
-func (a assessment) failed(i int) bool { return i == a.primary && a.reason.class() == ReasonSilent }
+// hasFailed reports whether the upstream is the primary and no longer answers.
+func (a assessment) hasFailed(i int) bool { return i == a.primary && a.reason.class() == ReasonSilent }
 
-// standstill remembers since when a condition over terms has held unchanged.
-type standstill struct {
+// termTimer records since when a condition has held for the same term.
+type termTimer struct {
 	term  core.Term
 	since time.Time
 }
 
-// hold returns since when the term has been the same.
-func (s *standstill) hold(now time.Time, term core.Term) time.Time {
+// hold notes that the condition holds for the term, and returns since when it has.
+func (s *termTimer) hold(now time.Time, term core.Term) time.Time {
 	if s.since.IsZero() || s.term != term {
 		s.term = term
 		s.since = now
@@ -50,9 +50,8 @@
 	return s.since
 }
 
-func (s *standstill) reset() { *s = standstill{} }
+func (s *termTimer) reset() { *s = termTimer{} }
 
-// assess looks at the reports.
 func (d *Driver) assess(now time.Time) assessment {
 	reports := d.cfg.View.Reports()
 	a := d.findPrimary(reports)
@@ -60,8 +59,8 @@
 		a.highest = max(a.highest, r.Status.Promised, r.Status.Log.Term)
 	}
 	switch {
-	case d.fresh(now, reports) < d.majority:
-		// A driver that reaches no majority can't complete a change and would only raise terms.
+	case d.countFresh(now, reports) < d.majority:
+		// Without a majority, the driver can't complete a change and would only raise terms.
 	case a.primary < 0:
 		d.assessNoPrimary(now, reports, &a)
 	default:
@@ -71,7 +70,8 @@
 	return a
 }
 
-// findPrimary returns the primary of the highest term, unless a majority has promised a higher one.
+// findPrimary returns an assessment with the primary of the highest term, or without a primary if a
+// majority has promised a higher term.
 func (d *Driver) findPrimary(reports []quorum.Report) assessment {
 	a := assessment{primary: -1}
 	var terms []core.Term
@@ -80,7 +80,7 @@
 			continue
 		}
 		terms = append(terms, r.Status.Promised)
-		if reigns(r.Status) && r.Status.Promised > a.term {
+		if isCurrentPrimary(r.Status) && r.Status.Promised > a.term {
 			a.primary = i
 			a.term = r.Status.Promised
 		}
@@ -95,13 +95,13 @@
 	return a
 }
 
-// reigns reports whether the status is that of a primary that has promised no higher term.
-func reigns(s core.UpstreamStatus) bool {
+// isCurrentPrimary reports whether the status is that of a primary in the term that it has promised.
+func isCurrentPrimary(s core.UpstreamStatus) bool {
 	return s.Role == core.RolePrimary && s.Promised > 0 && s.Log.Term == s.Promised
 }
 
-// fresh counts the upstreams that can be reached.
-func (d *Driver) fresh(now time.Time, reports []quorum.Report) int {
+// countFresh returns the number of upstreams that can be reached.
+func (d *Driver) countFresh(now time.Time, reports []quorum.Report) int {
 	n := 0
 	for _, r := range reports {
 		if d.isFresh(now, r) {
@@ -115,8 +115,8 @@
 	return r.Known && r.Err == nil && now.Sub(r.At) <= d.cfg.Timing.FreshWithin
 }
 
-// vetoed reports whether a replica has heard from its primary recently.
-func (d *Driver) vetoed(now time.Time, reports []quorum.Report) bool {
+// isVetoed reports whether a replica has heard from its primary within HeardWithin.
+func (d *Driver) isVetoed(now time.Time, reports []quorum.Report) bool {
 	return slices.ContainsFunc(reports, func(r quorum.Report) bool {
 		if !r.Known || r.Status.Role != core.RoleReplica || r.Status.Heard < 0 {
 			return false
@@ -125,36 +125,36 @@
 	})
 }
 
-// assessNoPrimary handles a group in which a majority has promised a term that has no primary: a
-// driver died between its steps, or the primary of that term can't be reached from here.
+// assessNoPrimary assesses a group in which a majority has promised a term without a known primary: a
+// driver failed between two steps, or the primary of that term can't be reached from this VM.
 func (d *Driver) assessNoPrimary(now time.Time, reports []quorum.Report, a *assessment) {
 	a.reason = ReasonNone
 	a.since = d.noPrimary.hold(now, a.highest)
 	limit := d.cfg.Timing.NoPrimaryAfter
-	if d.abandoned > 0 && a.highest == d.abandoned {
+	if d.abandonedTerm > 0 && a.highest == d.abandonedTerm {
 		limit = 0
 	}
-	a.ready = d.lasted(now, a.since, limit, reports)
+	a.ready = d.hasLasted(now, a.since, limit, reports)
 }
 
-// lasted reports whether the failure is old enough, and no replica vetoes or the veto has run out.
-func (d *Driver) lasted(now, since time.Time, limit time.Duration, reports []quorum.Report) bool {
-	since = later(since, d.watching)
+// hasLasted reports whether the failure has hasLasted for the limit and no replica vetoes the change. A
+// veto counts up to VetoTimeout only.
+func (d *Driver) hasLasted(now, since time.Time, limit time.Duration, reports []quorum.Report) bool {
+	since = latest(since, d.watchingSince)
 	age := now.Sub(since)
-	if age >= d.cfg.Timing.OverruleAfter {
+	if age >= d.cfg.Timing.VetoTimeout {
 		return true
 	}
-	return age >= limit && !d.vetoed(now, reports)
+	return age >= limit && !d.isVetoed(now, reports)
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return b
 	}
 	return a
 }
 
-// assessPrimary handles a group that has a primary.
 func (d *Driver) assessPrimary(now time.Time, reports []quorum.Report, a *assessment) {
 	t := d.cfg.Timing
 	p := reports[a.primary]
@@ -162,27 +162,27 @@
 	case !p.SilentSince.IsZero() && now.Sub(p.SilentSince) >= t.SilentAfter:
 		a.reason = ReasonSilent
 		a.since = p.SilentSince
-		a.ready = d.lasted(now, a.since, t.SilentAfter, reports) && !d.contested(now, a)
+		a.ready = d.hasLasted(now, a.since, t.SilentAfter, reports) && !d.isContested(now, a)
 	case !p.RefusedSince.IsZero():
 		a.reason = ReasonRefused
 		a.since = p.RefusedSince
-		a.ready = d.lasted(now, a.since, t.RefusedAfter, reports) && !d.contested(now, a)
+		a.ready = d.hasLasted(now, a.since, t.RefusedAfter, reports) && !d.isContested(now, a)
 	case d.isFresh(now, p):
 		d.assessHealthy(now, reports, a)
 	}
 }
 
-// contested reports whether another driver has raised the terms so recently that it may still be
-// about to complete its change.
-func (d *Driver) contested(now time.Time, a *assessment) bool {
-	if a.highest == a.term || a.highest == d.abandoned {
-		d.contest.reset()
+// isContested reports whether another driver raised the terms less than NoPrimaryAfter ago and may still
+// complete its change.
+func (d *Driver) isContested(now time.Time, a *assessment) bool {
+	if a.highest == a.term || a.highest == d.abandonedTerm {
+		d.otherDriver.reset()
 		return false
 	}
-	return now.Sub(d.contest.hold(now, a.highest)) < d.cfg.Timing.NoPrimaryAfter
+	return now.Sub(d.otherDriver.hold(now, a.highest)) < d.cfg.Timing.NoPrimaryAfter
 }
 
-// assessHealthy handles a group whose primary works.
+// assessHealthy assesses a group whose primary answers.
 func (d *Driver) assessHealthy(now time.Time, reports []quorum.Report, a *assessment) {
 	highest := a.term
 	for i, r := range reports {
@@ -195,44 +195,44 @@
 		}
 	}
 	if highest > a.term {
-		a.reason = ReasonTermPassed
-		a.since = d.passed.hold(now, highest)
-		a.ready = now.Sub(later(a.since, d.watching)) >= d.cfg.Timing.RaiseAfter
+		a.reason = ReasonHigherTerm
+		a.since = d.termExceeded.hold(now, highest)
+		a.ready = now.Sub(latest(a.since, d.watchingSince)) >= d.cfg.Timing.HigherTermAfter
 		return
 	}
-	d.passed.reset()
-	if !d.leaving(reports[a.primary]) {
-		d.leave.reset()
+	d.termExceeded.reset()
+	if !d.isLeaving(reports[a.primary]) {
+		d.leavingTimer.reset()
 		return
 	}
 	a.reason = ReasonLeaving
-	a.since = d.leave.hold(now, a.term)
+	a.since = d.leavingTimer.hold(now, a.term)
 	a.ready = d.hasSuccessor(now, reports, a)
 }
 
-// needsRepair reports whether the upstream has to be told to follow the primary of the term.
+// needsRepair reports whether the upstream must be told to follow the primary of the term.
 func (d *Driver) needsRepair(s core.UpstreamStatus, term core.Term) bool {
 	if s.Promised > term {
 		return false
 	}
 	following := s.Role == core.RoleReplica && s.Promised == term
-	return !following || s.Heard < 0 || s.Heard > d.cfg.Timing.RepairHeard
+	return !following || s.Heard < 0 || s.Heard > d.cfg.Timing.HeartbeatTimeout
 }
 
-func (d *Driver) leaving(r quorum.Report) bool {
+func (d *Driver) isLeaving(r quorum.Report) bool {
 	if r.Status.Leaving {
 		return true
 	}
 	return d.cfg.Members != nil && d.cfg.Members.Leaving(r.ID)
 }
 
-// hasSuccessor reports whether a replica that stays is close enough to the leaving primary.
+// hasSuccessor reports whether a replica that isn't leaving has data at most MaxSuccessorAge old.
 func (d *Driver) hasSuccessor(now time.Time, reports []quorum.Report, a *assessment) bool {
 	for i, r := range reports {
-		if i == a.primary || !d.isFresh(now, r) || d.leaving(r) || r.Status.Log.Term != a.term {
+		if i == a.primary || !d.isFresh(now, r) || d.isLeaving(r) || r.Status.Log.Term != a.term {
 			continue
 		}
-		if age, ok := d.cfg.View.Age(r.ID); ok && age <= d.cfg.Timing.CaughtUpAge {
+		if age, ok := d.cfg.View.Age(r.ID); ok && age <= d.cfg.Timing.MaxSuccessorAge {
 			return true
 		}
 	}
--- a/core/elect/change.go
+++ b/core/elect/change.go
@@ -11,14 +11,14 @@
 	"snipewall/core"
 )
 
-// Ends of a change that didn't happen.
+// Errors that end a change of primary.
 var (
 	errNoMajority = errors.New("no majority answered")
 	errNotNeeded  = errors.New("the change is no longer needed or another driver is at work")
 )
 
-// recheckTick is the time between looks at the answers of a recheck.
-const recheckTick = 2 * time.Millisecond
+// recheckInterval is the time between two checks for the answers that a recheck waits for.
+const recheckInterval = 2 * time.Millisecond
 
 // promise is an upstream's answer to prepare.
 type promise struct {
@@ -27,38 +27,38 @@
 	err    error
 }
 
-// change drives one change of primary. A failure leaves the group to the next look.
+// change performs one change of primary. After a failure, a later check of the group starts over.
 func (d *Driver) change(ctx context.Context, a assessment) {
 	c := Change{Reason: a.reason}
-	d.progress = time.Now()
+	d.lastStepAt = time.Now()
 	c.Detection = time.Since(a.since)
-	err := d.steps(ctx, a, &c)
+	err := d.runSteps(ctx, a, &c)
 	if err == nil {
-		d.notBefore = time.Now().Add(d.cfg.Timing.RetryMin)
+		d.retryAt = time.Now().Add(d.cfg.Timing.RetryMin)
 		return
 	}
 	d.mu.Lock()
 	d.failed++
 	d.mu.Unlock()
 	if errors.Is(err, errPaused) {
-		d.watching = time.Now()
+		d.watchingSince = time.Now()
 	}
 	d.backOff()
 	d.release(ctx, c.Term)
 }
 
-func (d *Driver) steps(ctx context.Context, a assessment, c *Change) error {
-	err := d.enter(ctx, StepDetect, a.term)
+func (d *Driver) runSteps(ctx context.Context, a assessment, c *Change) error {
+	err := d.beginStep(ctx, StepDetect, a.term)
 	d.record(Event{Step: StepDetect, Term: a.term, Reason: a.reason, Took: c.Detection, Error: errorText(err)})
 	if err != nil {
 		return err
 	}
-	if err := d.step(ctx, StepDelay, &c.Delay, c, func() error { return d.yield(ctx, a) }); err != nil {
+	if err := d.runStep(ctx, StepDelay, &c.Delay, c, func() error { return d.waitForOthers(ctx, a) }); err != nil {
 		return err
 	}
 	var promises []promise
-	err = d.step(ctx, StepPrepare, &c.Prepare, c, func() (err error) {
-		promises, err = d.gather(ctx, a, c)
+	err = d.runStep(ctx, StepPrepare, &c.Prepare, c, func() (err error) {
+		promises, err = d.collectPromises(ctx, a, c)
 		return err
 	})
 	if err != nil {
@@ -67,12 +67,12 @@
 	target := d.choose(promises, a)
 	c.To = d.cfg.Upstreams[target.index].Info().ID
 	var status core.UpstreamStatus
-	err = d.step(ctx, StepPromote, &c.Promote, c, func() (err error) {
+	err = d.runStep(ctx, StepPromote, &c.Promote, c, func() (err error) {
 		status, err = d.promote(ctx, target.index, c.Term)
 		return err
 	})
 	if err != nil {
-		d.abandoned = c.Term
+		d.abandonedTerm = c.Term
 		return err
 	}
 	d.followAll(ctx, target.index, *c)
@@ -80,37 +80,38 @@
 	return nil
 }
 
-// step runs one timed step. Its event carries the term and upstream as known at its end.
-func (d *Driver) step(ctx context.Context, s Step, took *time.Duration, c *Change, run func() error) error {
+// runStep runs one step, measures its duration and records an event with the term and upstream as they
+// are at the end.
+func (d *Driver) runStep(ctx context.Context, s Step, took *time.Duration, c *Change, run func() error) error {
 	start := time.Now()
-	err := d.enter(ctx, s, c.Term)
+	err := d.beginStep(ctx, s, c.Term)
 	if err == nil {
 		err = run()
 	}
 	*took = time.Since(start)
-	d.progress = time.Now()
+	d.lastStepAt = time.Now()
 	d.record(Event{Step: s, Term: c.Term, Upstream: c.To, Reason: c.Reason, Took: *took, Error: errorText(err)})
 	return err
 }
 
-// yield lets another driver go first, if the lease says so or the store is silent, and checks that
-// the failure persists.
-func (d *Driver) yield(ctx context.Context, a assessment) error {
-	answer, err := d.askLease(ctx, a.term)
+// waitForOthers waits for other drivers if another one holds the lease or the store doesn't answer, and
+// returns errNotNeeded if the same change is no longer needed.
+func (d *Driver) waitForOthers(ctx context.Context, a assessment) error {
+	answer, err := d.acquireLease(ctx, a.term)
 	if err != nil {
 		return err
 	}
 	wait := time.Duration(0)
 	switch answer {
 	case leaseUnknown:
-		wait = d.random(d.cfg.Timing.Stagger)
-	case leaseTaken:
-		wait = d.cfg.Timing.LeaseDelay + d.random(d.cfg.Timing.Stagger)
-	case leaseMine:
+		wait = d.random(d.cfg.Timing.MaxStagger)
+	case leaseHeldByOther:
+		wait = d.cfg.Timing.LeaseDelay + d.random(d.cfg.Timing.MaxStagger)
+	case leaseAcquired:
 	}
 	for end := time.Now().Add(wait); ; {
 		now := time.Now()
-		d.progress = now
+		d.lastStepAt = now
 		if !a.asksSameChange(d.assess(now)) {
 			return errNotNeeded
 		}
@@ -123,27 +124,27 @@
 	}
 }
 
-// recheck looks at statuses that were asked for after the wait. Idle polls can be 100 ms old, and
-// another driver completes a change in less.
+// recheck repeats the assessment with statuses from polls that start now. Statuses from idle polls can
+// be 100 ms old, and another driver completes a change in less time.
 func (d *Driver) recheck(ctx context.Context, a assessment) error {
 	start := time.Now()
-	d.suspectAll()
+	d.pollAll()
 	for d.polledSince(start) < d.majority {
 		if time.Since(start) > d.cfg.Timing.CallTimeout {
 			return errNoMajority
 		}
-		if !sleep(ctx, recheckTick) {
+		if !sleep(ctx, recheckInterval) {
 			return ctx.Err()
 		}
 	}
-	d.progress = time.Now()
-	if !a.asksSameChange(d.assess(d.progress)) {
+	d.lastStepAt = time.Now()
+	if !a.asksSameChange(d.assess(d.lastStepAt)) {
 		return errNotNeeded
 	}
 	return nil
 }
 
-// polledSince counts the upstreams with a status from a poll that started after the time.
+// polledSince returns the number of upstreams with a status from a poll that did not start before start.
 func (d *Driver) polledSince(start time.Time) int {
 	n := 0
 	for _, r := range d.cfg.View.Reports() {
@@ -154,20 +155,20 @@
 	return n
 }
 
-func (d *Driver) askLease(ctx context.Context, term core.Term) (leaseAnswer, error) {
+func (d *Driver) acquireLease(ctx context.Context, term core.Term) (leaseResult, error) {
 	start := time.Now()
-	if err := d.enter(ctx, StepLease, term); err != nil {
+	if err := d.beginStep(ctx, StepLease, term); err != nil {
 		return leaseUnknown, err
 	}
 	answer, err := d.lease.acquire(ctx, d.cfg.Timing.LeaseTTL, d.cfg.Timing.StoreTimeout)
 	d.record(Event{Step: StepLease, Term: term, Took: time.Since(start), Error: errorText(err)})
-	d.progress = time.Now()
+	d.lastStepAt = time.Now()
 	return answer, nil
 }
 
-// gather picks the term and collects promises from a majority. A planned change first stops the
-// primary's commits and lets a replica catch up.
-func (d *Driver) gather(ctx context.Context, a assessment, c *Change) ([]promise, error) {
+// collectPromises chooses the term and collects promises from a majority. A planned change first stops
+// commits on the primary and waits for a replica to catch up.
+func (d *Driver) collectPromises(ctx context.Context, a assessment, c *Change) ([]promise, error) {
 	c.Term = d.nextTerm(a)
 	if a.reason != ReasonLeaving {
 		return d.prepare(ctx, a, c.Term, nil)
@@ -179,15 +180,16 @@
 	return d.prepare(ctx, a, c.Term, first)
 }
 
-// nextTerm returns a term above any that was seen at the decision or used before. Terms that appeared
-// since belong to another driver: prepare is then refused, which lets that driver go on.
+// nextTerm returns a term above all terms that the assessment saw or that this driver used. Higher terms
+// that appeared since then belong to another driver: prepare is refused, and that driver continues.
 func (d *Driver) nextTerm(a assessment) core.Term {
-	d.highest = max(d.highest, a.highest) + 1
-	return d.highest
+	d.highestTerm = max(d.highestTerm, a.highest) + 1
+	return d.highestTerm
 }
 
-// prepare sends prepare to all upstreams that are not in given. It returns the promises once all that
-// are likely to answer have done so, or a majority has and the others had as long again.
+// prepare sends prepare(term) to all upstreams except the one whose promise is given. It returns once all
+// upstreams that are expected to answer have done so, or once a majority has and the rest were given
+// the same time again.
 func (d *Driver) prepare(ctx context.Context, a assessment, term core.Term, given []promise) ([]promise, error) {
 	answers := make(chan promise, len(d.cfg.Upstreams))
 	start := time.Now()
@@ -196,7 +198,7 @@
 		if len(given) > 0 && given[0].index == i {
 			continue
 		}
-		if !a.failed(i) {
+		if !a.hasFailed(i) {
 			waiting++
 		}
 		d.call(ctx, i, answers, func(ctx context.Context, up core.Upstream) (core.UpstreamStatus, error) {
@@ -205,14 +207,14 @@
 	}
 	promises := given
 	var failures []error
-	grace := time.NewTimer(d.cfg.Timing.CallTimeout)
-	defer grace.Stop()
+	timeout := time.NewTimer(d.cfg.Timing.CallTimeout)
+	defer timeout.Stop()
 	for waiting > 0 {
 		select {
-		case <-grace.C:
+		case <-timeout.C:
 			waiting = 0
 		case p := <-answers:
-			if !a.failed(p.index) {
+			if !a.hasFailed(p.index) {
 				waiting--
 			}
 			if p.err != nil || p.status.Promised != term {
@@ -221,7 +223,7 @@
 			}
 			promises = append(promises, p)
 			if len(promises) == d.majority {
-				grace.Reset(time.Since(start) + d.cfg.Timing.Tick)
+				timeout.Reset(time.Since(start) + d.cfg.Timing.Tick)
 			}
 		}
 	}
@@ -231,7 +233,7 @@
 	return promises, nil
 }
 
-// call runs one control call in its own goroutine, with a deadline, and delivers its answer.
+// call makes one control call with a deadline in a new goroutine and sends its result to answers.
 func (d *Driver) call(ctx context.Context, i int, answers chan<- promise, f func(context.Context, core.Upstream) (core.UpstreamStatus, error)) {
 	d.calls.Add(1)
 	go func() {
@@ -243,9 +245,9 @@
 	}()
 }
 
-// choose returns the promise of the upstream to promote: the one with the highest log and, among
-// equals, the preferred one. A planned change passes over a leaving primary whose last entries
-// nobody else holds, if no majority can have held them either: these writes were never confirmed.
+// choose returns the promise of the upstream to promote: the one with the highest log and, of several
+// equal ones, the preferred one. A planned change skips a leaving upstream if the entries that only it
+// holds can't have been held by a majority: those writes were never confirmed.
 func (d *Driver) choose(promises []promise, a assessment) promise {
 	ranked := slices.Clone(promises)
 	slices.SortStableFunc(ranked, func(p, q promise) int {
@@ -254,12 +256,12 @@
 	if a.reason != ReasonLeaving {
 		return ranked[0]
 	}
-	// Upstreams that didn't answer may hold any entry. An entry that fewer than needed of those that
-	// answered hold can't have had a majority.
+	// Upstreams that didn't answer may hold any entry. An entry held by fewer than needed of the upstreams
+	// that answered can't have been held by a majority.
 	needed := d.majority - (len(d.cfg.Upstreams) - len(promises))
 	safe := ranked[needed-1].status.Log
 	for _, p := range ranked {
-		if !p.status.Log.Less(safe) && !p.status.Leaving && !d.leaving(d.cfg.View.Reports()[p.index]) {
+		if !p.status.Log.Less(safe) && !p.status.Leaving && !d.isLeaving(d.cfg.View.Reports()[p.index]) {
 			return p
 		}
 	}
@@ -270,26 +272,26 @@
 	return cmp.Or(cmp.Compare(p.Term, q.Term), cmp.Compare(p.Offset, q.Offset))
 }
 
-// preference ranks upstreams with equal logs.
+// preference returns a score that ranks upstreams with equal logs; higher is better.
 func (d *Driver) preference(p promise, a assessment) int {
 	score := 0
 	reports := d.cfg.View.Reports()
-	if !p.status.Leaving && !d.leaving(reports[p.index]) {
+	if !p.status.Leaving && !d.isLeaving(reports[p.index]) {
 		score += 2
 	}
-	working := a.reason == ReasonTermPassed || a.reason == ReasonNone
+	working := a.reason == ReasonHigherTerm || a.reason == ReasonNone
 	if (p.index == a.primary || p.status.Role == core.RolePrimary) == working {
 		score++
 	}
 	return score
 }
 
-// promote promotes one upstream, repeating the call since a lost answer leaves open whether it took
-// effect.
+// promote promotes one upstream. It repeats a failed call, since the call may have taken effect although
+// its answer was lost.
 func (d *Driver) promote(ctx context.Context, i int, term core.Term) (core.UpstreamStatus, error) {
-	const tries = 3
+	const attempts = 3
 	var failures []error
-	for range tries {
+	for range attempts {
 		answers := make(chan promise, 1)
 		d.call(ctx, i, answers, func(ctx context.Context, up core.Upstream) (core.UpstreamStatus, error) {
 			return up.Promote(ctx, term)
@@ -306,11 +308,11 @@
 	return core.UpstreamStatus{}, fmt.Errorf("promote: %w", errors.Join(failures...))
 }
 
-// followAll tells the other upstreams to follow the new primary. It waits for as many as a majority
-// needs; the others are left to repair.
+// followAll tells the other upstreams to follow the new primary and waits until a majority does. The
+// rest is left to repair.
 func (d *Driver) followAll(ctx context.Context, target int, c Change) {
 	start := time.Now()
-	if err := d.enter(ctx, StepFollow, c.Term); err != nil {
+	if err := d.beginStep(ctx, StepFollow, c.Term); err != nil {
 		d.record(Event{Step: StepFollow, Term: c.Term, Error: errorText(err)})
 		return
 	}
@@ -320,7 +322,7 @@
 		if i == target {
 			continue
 		}
-		d.repaired[i] = time.Now()
+		d.repairedAt[i] = time.Now()
 		d.call(ctx, i, answers, func(ctx context.Context, up core.Upstream) (core.UpstreamStatus, error) {
 			return up.Follow(ctx, c.Term, primary)
 		})
@@ -333,11 +335,11 @@
 		}
 		if p := <-answers; p.err != nil {
 			failures = append(failures, p.err)
-			d.repaired[p.index] = time.Time{}
+			d.repairedAt[p.index] = time.Time{}
 			continue
 		}
 		following++
 	}
-	d.progress = time.Now()
+	d.lastStepAt = time.Now()
 	d.record(Event{Step: StepFollow, Term: c.Term, Upstream: c.To, Took: time.Since(start), Error: errorText(errors.Join(failures...))})
 }
--- a/core/elect/choose_test.go
+++ b/core/elect/choose_test.go
@@ -22,12 +22,12 @@
 	}{
 		{"highest term before longest log", ReasonSilent, []promise{at(1, 1, 9, false), at(2, 2, 5, false)}, 2},
 		{"longest log of a term", ReasonSilent, []promise{at(1, 2, 5, false), at(2, 2, 6, false)}, 2},
-		{"leaving only preferred against among equals", ReasonSilent, []promise{at(1, 2, 6, true), at(2, 2, 6, false)}, 2},
-		{"failure keeps the highest though leaving", ReasonSilent, []promise{at(1, 2, 6, true), at(2, 2, 5, false)}, 1},
-		{"planned, all answered: entry of the leaving one alone", ReasonLeaving, []promise{at(0, 2, 9, true), at(1, 2, 8, false), at(2, 2, 3, false)}, 1},
-		{"planned, one silent: any entry may be confirmed", ReasonLeaving, []promise{at(0, 2, 9, true), at(1, 2, 8, false)}, 0},
-		{"planned, caught up, one silent", ReasonLeaving, []promise{at(0, 2, 9, true), at(2, 2, 9, false)}, 2},
-		{"planned, old log is never enough", ReasonLeaving, []promise{at(0, 2, 9, true), at(1, 1, 20, false), at(2, 2, 8, false)}, 2},
+		{"equal logs: the one that is not leaving", ReasonSilent, []promise{at(1, 2, 6, true), at(2, 2, 6, false)}, 2},
+		{"failure: highest log even if leaving", ReasonSilent, []promise{at(1, 2, 6, true), at(2, 2, 5, false)}, 1},
+		{"planned, all answered: entry only on the leaving one", ReasonLeaving, []promise{at(0, 2, 9, true), at(1, 2, 8, false), at(2, 2, 3, false)}, 1},
+		{"planned, one without answer: any entry may be confirmed", ReasonLeaving, []promise{at(0, 2, 9, true), at(1, 2, 8, false)}, 0},
+		{"planned, caught up, one without answer", ReasonLeaving, []promise{at(0, 2, 9, true), at(2, 2, 9, false)}, 2},
+		{"planned, longer log of an old term", ReasonLeaving, []promise{at(0, 2, 9, true), at(1, 1, 20, false), at(2, 2, 8, false)}, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/core/elect/config.go
+++ b/core/elect/config.go
@@ -11,18 +11,18 @@
 	"snipewall/core/quorum"
 )
 
-// View is what a driver needs of the group's monitor. *quorum.Monitor implements it.
+// View is the part of the group's monitor that a driver uses. *quorum.Monitor implements it.
 type View interface {
 	// Reports returns one report per upstream in the order of the configuration.
 	Reports() []quorum.Report
-	// Changed delivers a value when Reports deserves a look before the next tick.
+	// Changed delivers a value when the reports should be assessed before the next tick.
 	Changed() <-chan struct{}
 	Confirm(ctx context.Context, p core.Position) error
 	Age(id core.UpstreamID) (time.Duration, bool)
 	Suspect(id core.UpstreamID)
 }
 
-// Config constructs a Driver. Store and Members may be nil. Zero durations take the defaults.
+// Config configures a Driver. Store and Members may be nil. Zero durations take the defaults.
 type Config struct {
 	Group core.GroupID
 	// Self is written into the lease.
@@ -33,104 +33,106 @@
 	Store     core.Store
 	Members   core.Members
 	Logger    log.Logger
-	// Timing holds the durations.
-	Timing Timing
-	// Rand decides delays; nil uses the process's random source.
+	Timing    Timing
+	// Rand is the source of random delays; nil means a source with a random seed.
 	Rand *rand.Rand
-	// Hook, if set, is called before each step. Tests use it to inject faults; it may block.
+	// Hook, if set, is called before each step and may block. Tests use it to inject faults.
 	Hook func(ctx context.Context, step Step, term core.Term)
-	// OnEvent, if set, is called after each step, and OnChange after each completed change. OnEvent
-	// may be called by several goroutines at once.
+	// OnEvent, if set, is called after each step, possibly from several goroutines at once. OnChange, if
+	// set, is called after each completed change.
 	OnEvent  func(Event)
 	OnChange func(Change)
 }
 
 // Timing holds the durations of a driver.
 type Timing struct {
-	// SilentAfter is how long the primary may give no successful status. A slow period below 1 s plus
-	// one lost poll must fit.
+	// SilentAfter is how long the primary may go without a successful status poll. It must exceed a slow
+	// period of up to 1 s plus one lost poll.
 	SilentAfter time.Duration
 	// RefusedAfter is how long the primary may refuse connections.
 	RefusedAfter time.Duration
 	// HeardWithin is how recently a replica must have heard from the primary to veto the change.
 	HeardWithin time.Duration
-	// OverruleAfter is when the veto of replicas ends.
-	OverruleAfter time.Duration
-	// NoPrimaryAfter is how long terms must stand still without a primary. It leaves another driver
-	// the time to complete its change.
+	// VetoTimeout is the duration of a failure after which a veto no longer counts.
+	VetoTimeout time.Duration
+	// NoPrimaryAfter is how long terms must stay unchanged without a primary. Another driver has this time
+	// to complete its change.
 	NoPrimaryAfter time.Duration
-	// RaiseAfter is how long an upstream must have promised a term above the primary's.
-	RaiseAfter time.Duration
-	// FreshWithin is the age up to which a status counts as a sign that the upstream can be reached. It
-	// is longer than the time between the polls of a quiet group.
+	// HigherTermAfter is how long an upstream must have promised a term above the primary's.
+	HigherTermAfter time.Duration
+	// FreshWithin is the age up to which a status shows that the upstream can be reached. It is longer
+	// than the poll interval of a quiet group.
 	FreshWithin time.Duration
-	// Tick is the time between looks while something is wrong, IdleTick otherwise.
+	// Tick is the time between checks of a group that isn't healthy, IdleTick that of a healthy one.
 	Tick, IdleTick time.Duration
 	// CallTimeout limits one control call to an upstream.
 	CallTimeout time.Duration
-	// StoreTimeout limits all calls to the store before a change.
+	// StoreTimeout limits acquiring the lease as a whole, and releasing it.
 	StoreTimeout time.Duration
 	// LeaseTTL is the lifetime of the lease.
 	LeaseTTL time.Duration
-	// LeaseDelay is how long a driver waits that finds the lease held.
+	// LeaseDelay is how long a driver waits if another VM holds the lease.
 	LeaseDelay time.Duration
-	// Stagger is the longest random delay of a driver that gets no answer from the store.
-	Stagger time.Duration
-	// CatchUp is how long a planned change waits for a replica after the primary stopped commits.
+	// MaxStagger is the upper limit of the random delay without an answer from the store, and of the
+	// random part after LeaseDelay.
+	MaxStagger time.Duration
+	// CatchUp is how long a planned change waits for a replica to catch up after the primary has stopped
+	// commits.
 	CatchUp time.Duration
-	// CaughtUpAge is the age of a replica's data at which a planned change may start.
-	CaughtUpAge time.Duration
-	// PauseLimit is the time between steps after which the driver takes itself for paused and
-	// decides anew.
+	// MaxSuccessorAge is the highest age of a replica's data at which a planned change may start.
+	MaxSuccessorAge time.Duration
+	// PauseLimit is the time between two steps after which the driver assumes that its process was paused,
+	// and starts over.
 	PauseLimit time.Duration
 	// RetryMin and RetryMax bound the random backoff between failed changes, which doubles.
 	RetryMin, RetryMax time.Duration
-	// RepairEvery is the time between repairs of one upstream.
-	RepairEvery time.Duration
-	// RepairHeard is how long a replica may go without hearing from a healthy primary.
-	RepairHeard time.Duration
+	// RepairInterval is the shortest time between two repairs of one upstream.
+	RepairInterval time.Duration
+	// HeartbeatTimeout is how long a replica may go without hearing from a healthy primary before it is
+	// repaired.
+	HeartbeatTimeout time.Duration
 }
 
-// DefaultTiming returns the durations that snipewall uses.
+// DefaultTiming returns the default durations.
 func DefaultTiming() Timing {
 	return Timing{
-		SilentAfter:    1200 * time.Millisecond,
-		RefusedAfter:   300 * time.Millisecond,
-		HeardWithin:    500 * time.Millisecond,
-		OverruleAfter:  5 * time.Second,
-		NoPrimaryAfter: 600 * time.Millisecond,
-		RaiseAfter:     time.Second,
-		FreshWithin:    1500 * time.Millisecond,
-		Tick:           20 * time.Millisecond,
-		IdleTick:       250 * time.Millisecond,
-		CallTimeout:    500 * time.Millisecond,
-		StoreTimeout:   200 * time.Millisecond,
-		LeaseTTL:       10 * time.Second,
-		LeaseDelay:     time.Second,
-		Stagger:        200 * time.Millisecond,
-		CatchUp:        500 * time.Millisecond,
-		CaughtUpAge:    500 * time.Millisecond,
-		PauseLimit:     time.Second,
-		RetryMin:       100 * time.Millisecond,
-		RetryMax:       2 * time.Second,
-		RepairEvery:    time.Second,
-		RepairHeard:    2 * time.Second,
+		SilentAfter:      1200 * time.Millisecond,
+		RefusedAfter:     300 * time.Millisecond,
+		HeardWithin:      500 * time.Millisecond,
+		VetoTimeout:      5 * time.Second,
+		NoPrimaryAfter:   600 * time.Millisecond,
+		HigherTermAfter:  time.Second,
+		FreshWithin:      1500 * time.Millisecond,
+		Tick:             20 * time.Millisecond,
+		IdleTick:         250 * time.Millisecond,
+		CallTimeout:      500 * time.Millisecond,
+		StoreTimeout:     200 * time.Millisecond,
+		LeaseTTL:         10 * time.Second,
+		LeaseDelay:       time.Second,
+		MaxStagger:       200 * time.Millisecond,
+		CatchUp:          500 * time.Millisecond,
+		MaxSuccessorAge:  500 * time.Millisecond,
+		PauseLimit:       time.Second,
+		RetryMin:         100 * time.Millisecond,
+		RetryMax:         2 * time.Second,
+		RepairInterval:   time.Second,
+		HeartbeatTimeout: 2 * time.Second,
 	}
 }
 
-// setDefaults fills in zero durations.
+// setDefaults replaces durations that are not positive.
 func (t *Timing) setDefaults() {
 	d := DefaultTiming()
 	pairs := []struct{ v, d *time.Duration }{
 		{&t.SilentAfter, &d.SilentAfter}, {&t.RefusedAfter, &d.RefusedAfter},
-		{&t.HeardWithin, &d.HeardWithin}, {&t.OverruleAfter, &d.OverruleAfter},
-		{&t.NoPrimaryAfter, &d.NoPrimaryAfter}, {&t.RaiseAfter, &d.RaiseAfter},
+		{&t.HeardWithin, &d.HeardWithin}, {&t.VetoTimeout, &d.VetoTimeout},
+		{&t.NoPrimaryAfter, &d.NoPrimaryAfter}, {&t.HigherTermAfter, &d.HigherTermAfter},
 		{&t.FreshWithin, &d.FreshWithin}, {&t.Tick, &d.Tick}, {&t.IdleTick, &d.IdleTick},
 		{&t.CallTimeout, &d.CallTimeout}, {&t.StoreTimeout, &d.StoreTimeout},
-		{&t.LeaseTTL, &d.LeaseTTL}, {&t.LeaseDelay, &d.LeaseDelay}, {&t.Stagger, &d.Stagger},
-		{&t.CatchUp, &d.CatchUp}, {&t.CaughtUpAge, &d.CaughtUpAge},
+		{&t.LeaseTTL, &d.LeaseTTL}, {&t.LeaseDelay, &d.LeaseDelay}, {&t.MaxStagger, &d.MaxStagger},
+		{&t.CatchUp, &d.CatchUp}, {&t.MaxSuccessorAge, &d.MaxSuccessorAge},
 		{&t.PauseLimit, &d.PauseLimit}, {&t.RetryMin, &d.RetryMin}, {&t.RetryMax, &d.RetryMax},
-		{&t.RepairEvery, &d.RepairEvery}, {&t.RepairHeard, &d.RepairHeard},
+		{&t.RepairInterval, &d.RepairInterval}, {&t.HeartbeatTimeout, &d.HeartbeatTimeout},
 	}
 	for _, p := range pairs {
 		if *p.v <= 0 {
@@ -139,7 +141,7 @@
 	}
 }
 
-// New returns a driver that starts working when Run is called.
+// New returns a driver. It does nothing until Run is called.
 func New(cfg Config) *Driver {
 	cfg.Timing.setDefaults()
 	if cfg.Logger == nil {
@@ -150,11 +152,11 @@
 	}
 	n := len(cfg.Upstreams)
 	return &Driver{
-		cfg:      cfg,
-		majority: n/2 + 1,
-		lease:    lease{store: cfg.Store, key: "snipewall/lead/" + string(cfg.Group), self: cfg.Self},
-		repaired: make([]time.Time, n),
-		staying:  make([]time.Time, n),
-		ends:     make(chan confirmEnd, 1),
+		cfg:             cfg,
+		majority:        n/2 + 1,
+		lease:           lease{store: cfg.Store, key: "snipewall/lead/" + string(cfg.Group), self: cfg.Self},
+		repairedAt:      make([]time.Time, n),
+		notLeavingSince: make([]time.Time, n),
+		confirmResults:  make(chan confirmResult, 1),
 	}
 }
--- a/core/elect/confirm.go
+++ b/core/elect/confirm.go
@@ -7,20 +7,20 @@
 	"snipewall/core"
 )
 
-// confirmLimit is how long a driver waits for the first confirmed position before it gives up
-// measuring. The group may still recover later by repair.
-const confirmLimit = 10 * time.Second
+// confirmTimeout limits the wait for the first confirmed position. Repair may still restore the group
+// after that, but the change is then not reported.
+const confirmTimeout = 10 * time.Second
 
-// confirmEnd is the end of the wait for the first confirmed position of a change.
-type confirmEnd struct {
+// confirmResult is the result of waiting for the first confirmed position after a change.
+type confirmResult struct {
 	change Change
 	err    error
 }
 
-// awaitConfirm waits for the first confirmed position without holding up repair.
+// awaitConfirm waits for the first confirmed position in a new goroutine, so that repair isn't delayed.
 func (d *Driver) awaitConfirm(ctx context.Context, pos core.Position, c Change) {
 	start := time.Now()
-	if err := d.enter(ctx, StepConfirm, c.Term); err != nil {
+	if err := d.beginStep(ctx, StepConfirm, c.Term); err != nil {
 		d.record(Event{Step: StepConfirm, Term: c.Term, Error: errorText(err)})
 		return
 	}
@@ -30,19 +30,19 @@
 	d.calls.Add(1)
 	go func() {
 		defer d.calls.Done()
-		ctx, cancel := context.WithTimeout(ctx, confirmLimit)
+		ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 		defer cancel()
 		err := d.cfg.View.Confirm(ctx, pos)
 		c.Confirm = time.Since(start)
 		select {
-		case d.ends <- confirmEnd{change: c, err: err}:
+		case d.confirmResults <- confirmResult{change: c, err: err}:
 		case <-ctx.Done():
 		}
 	}()
 }
 
-// finish reports a completed change.
-func (d *Driver) finish(end confirmEnd) {
+// finishChange records the end of a change and, if it was confirmed, reports it and releases the lease.
+func (d *Driver) finishChange(end confirmResult) {
 	c := end.change
 	d.record(Event{Step: StepConfirm, Term: c.Term, Upstream: c.To, Reason: c.Reason, Took: c.Confirm, Error: errorText(end.err)})
 	if end.err != nil {
@@ -57,7 +57,7 @@
 	d.release(context.Background(), c.Term)
 }
 
-// release gives up the lease, so that the next change needn't wait for its expiry.
+// release releases the lease, so that the next change doesn't have to wait until it expires.
 func (d *Driver) release(ctx context.Context, term core.Term) {
 	if d.cfg.Store == nil || d.lease.id == "" {
 		return
--- a/core/elect/doc.go
+++ b/core/elect/doc.go
@@ -1,24 +1,25 @@
-// Package elect changes the primary of one database group when the primary fails or leaves, and
-// brings upstreams that fell out of the group back into it.
+// Package elect changes the primary of one database group when the primary fails or leaves, and makes
+// upstreams that no longer follow the primary follow it again.
 //
 // # Safety
 //
-// Nothing here is needed for safety. An upstream accepts prepare(t) only above its promised term, so
-// that at most one driver gets a majority at t, and it accepts promote(t) and follow(t) only while t
-// is its promised term, so that a driver that was paused and goes on is refused. The driver keeps
-// three rules that the upstreams can't check:
+// The upstreams enforce most of what safety needs. An upstream accepts prepare(t) only if t is above
+// its promised term, so that at most one driver gets a majority for t. It accepts promote(t) and
+// follow(t) only while t is its promised term, so that a driver that continues after a pause is
+// refused. Timing and the lease are not needed for safety. The driver keeps three rules that the
+// upstreams can't check:
 //
-//   - It promotes only after a majority accepted prepare(t) with answers that it has seen itself.
+//   - It promotes only after it has received answers to prepare(t) from a majority.
 //   - It promotes an upstream whose log is the highest (term, offset) among those answers. Only a
-//     planned change may pass over entries that too few upstreams hold to have been confirmed.
+//     planned change may skip entries that too few upstreams hold to have been confirmed.
 //   - It promotes one upstream per term.
 //
 // # When a change starts
 //
-// A driver acts only while it reaches a majority, so that a driver that is cut off raises no terms.
-// The reasons are listed as constants of Reason. The driver that holds the advisory lease acts at
-// once. Without a store, a random delay keeps drivers apart. A driver that finds the lease held waits
-// for LeaseDelay and then acts too.
+// A driver acts only while it reaches a majority, so that a driver in a minority partition raises no
+// terms. The constants of Reason list the reasons. The driver that holds the advisory lease acts at
+// once. A driver that finds the lease held by another one waits for LeaseDelay and then acts, too.
+// Without an answer from the store, a random delay makes it unlikely that two drivers act at once.
 //
 // # Usage
 //
--- a/core/elect/drain.go
+++ b/core/elect/drain.go
@@ -8,11 +8,12 @@
 	"snipewall/core"
 )
 
-// drain prepares the leaving primary alone, so that it takes no more commits, and waits until a
-// replica that stays holds its whole log. The other upstreams still accept entries of the old term.
+// drain sends prepare to the leaving primary only, which then takes no more commits, and waits until a
+// replica that isn't leaving holds its whole log. The other upstreams still accept entries of the old
+// term.
 func (d *Driver) drain(ctx context.Context, a assessment, c *Change) ([]promise, error) {
 	start := time.Now()
-	if err := d.enter(ctx, StepDrain, c.Term); err != nil {
+	if err := d.beginStep(ctx, StepDrain, c.Term); err != nil {
 		return nil, err
 	}
 	answers := make(chan promise, 1)
@@ -22,39 +23,39 @@
 	p := <-answers
 	id := d.cfg.Upstreams[a.primary].Info().ID
 	d.record(Event{Step: StepDrain, Term: c.Term, Upstream: id, Took: time.Since(start), Error: errorText(p.err)})
-	d.progress = time.Now()
+	d.lastStepAt = time.Now()
 	if p.err != nil {
 		return nil, fmt.Errorf("prepare of the leaving primary: %w", p.err)
 	}
 	return []promise{p}, d.catchUp(ctx, p, c.Term)
 }
 
-// catchUp waits for a replica to hold the log up to the promise. If none does in time, the change
-// goes on without the entries that no majority holds.
+// catchUp waits until a replica holds the log up to the position in the promise. If none does in time,
+// the change continues without the entries that no majority holds.
 func (d *Driver) catchUp(ctx context.Context, p promise, term core.Term) error {
 	start := time.Now()
-	if err := d.enter(ctx, StepCatchUp, term); err != nil {
+	if err := d.beginStep(ctx, StepCatchUp, term); err != nil {
 		return err
 	}
 	text := ""
-	for !d.caughtUp(p) {
+	for !d.hasCaughtUp(p) {
 		if time.Since(start) >= d.cfg.Timing.CatchUp {
 			text = "no replica caught up in time"
 			break
 		}
-		d.suspectAll()
+		d.pollAll()
 		if !sleep(ctx, d.cfg.Timing.Tick/4) {
 			return ctx.Err()
 		}
 	}
-	d.progress = time.Now()
+	d.lastStepAt = time.Now()
 	d.record(Event{Step: StepCatchUp, Term: term, Took: time.Since(start), Error: text})
 	return nil
 }
 
-func (d *Driver) caughtUp(p promise) bool {
+func (d *Driver) hasCaughtUp(p promise) bool {
 	for i, r := range d.cfg.View.Reports() {
-		if i == p.index || !r.Known || d.leaving(r) {
+		if i == p.index || !r.Known || d.isLeaving(r) {
 			continue
 		}
 		if r.Status.Log.Term == p.status.Log.Term && !r.Status.Log.Less(p.status.Log) {
@@ -64,7 +65,7 @@
 	return false
 }
 
-func (d *Driver) suspectAll() {
+func (d *Driver) pollAll() {
 	for _, up := range d.cfg.Upstreams {
 		d.cfg.View.Suspect(up.Info().ID)
 	}
--- a/core/elect/driver.go
+++ b/core/elect/driver.go
@@ -10,35 +10,37 @@
 	"snipewall/core"
 )
 
-// errPaused ends a change whose driver was paused between two steps.
-var errPaused = errors.New("paused between steps, deciding anew")
+// errPaused ends a change during which the process was paused.
+var errPaused = errors.New("the driver was paused between two steps")
 
-// Driver implements core.Service for one group.
+// Driver changes the primary of one group and repairs its upstreams. It implements core.Service.
 type Driver struct {
 	cfg      Config
 	majority int
 
-	// The fields below belong to the goroutine of Run.
+	// The fields up to mu are used by Run's goroutine only.
 	lease lease
-	// noPrimary, passed, leave and contest time the conditions that a status doesn't time.
-	noPrimary, passed, leave, contest standstill
-	// lastLook is the time of the last look; watching is since when looks have come without a pause.
-	lastLook, watching time.Time
-	// notBefore is the end of the backoff after attempts failed changes in a row.
-	notBefore time.Time
-	attempts  int
-	// highest is the highest term that this driver has used.
-	highest core.Term
-	// abandoned is the last term for which this driver had a majority and then failed to promote. No
-	// other driver can be at work in it.
-	abandoned core.Term
-	// progress is the end of the last step of a change.
-	progress time.Time
-	repaired []time.Time
-	// staying is since when each upstream's status has not said that it is leaving.
-	staying []time.Time
-	ends    chan confirmEnd
-	calls   sync.WaitGroup
+	// noPrimary, termExceeded, leavingTimer and otherDriver record since when the conditions have held
+	// that the reports carry no time for.
+	noPrimary, termExceeded, leavingTimer, otherDriver termTimer
+	// lastCheckAt is the time of the last check; watchingSince is when the checks since the last pause
+	// began.
+	lastCheckAt, watchingSince time.Time
+	// retryAt is the end of the backoff; attempts is the number of changes that failed in a row.
+	retryAt  time.Time
+	attempts int
+	// highestTerm is the highest term that this driver has used.
+	highestTerm core.Term
+	// abandonedTerm is the last term in which this driver had a majority and then failed to promote. No
+	// other driver can be using that term.
+	abandonedTerm core.Term
+	// lastStepAt is when the last step ended.
+	lastStepAt time.Time
+	repairedAt []time.Time
+	// notLeavingSince is since when each upstream's status has been without the leaving mark.
+	notLeavingSince []time.Time
+	confirmResults  chan confirmResult
+	calls           sync.WaitGroup
 
 	mu      sync.Mutex
 	events  []Event
@@ -50,8 +52,8 @@
 // Name implements core.Service.
 func (d *Driver) Name() string { return "elect/" + string(d.cfg.Group) }
 
-// Run watches the group and changes its primary when needed, until ctx ends. It returns after its
-// calls to upstreams have returned.
+// Run monitors the group and changes its primary when needed, until ctx ends. It waits for its calls to
+// upstreams and returns nil.
 func (d *Driver) Run(ctx context.Context) error {
 	defer d.calls.Wait()
 	ctx, cancel := context.WithCancel(ctx)
@@ -64,18 +66,18 @@
 			return nil
 		case <-timer.C:
 		case <-d.cfg.View.Changed():
-		case end := <-d.ends:
-			d.finish(end)
+		case end := <-d.confirmResults:
+			d.finishChange(end)
 		}
-		timer.Reset(d.look(ctx))
+		timer.Reset(d.check(ctx))
 	}
 }
 
-// look assesses the group, acts, and returns the time to the next look.
-func (d *Driver) look(ctx context.Context) time.Duration {
+// check assesses the group, acts on the result and returns the time until the next check.
+func (d *Driver) check(ctx context.Context) time.Duration {
 	now := time.Now()
-	d.noticePause(now)
-	d.spreadLeaving(now, d.cfg.View.Reports())
+	d.detectPause(now)
+	d.publishLeaving(now, d.cfg.View.Reports())
 	a := d.assess(now)
 	d.setReason(a.reason)
 	d.repair(ctx, now, a)
@@ -83,26 +85,27 @@
 		if a.primary >= 0 && len(a.repairs) == 0 {
 			d.attempts = 0
 		}
-		return d.nextLook(a)
+		return d.nextCheckDelay(a)
 	}
-	if a.ready && !now.Before(d.notBefore) {
+	if a.ready && !now.Before(d.retryAt) {
 		d.change(ctx, a)
 	}
-	d.lastLook = time.Now()
+	d.lastCheckAt = time.Now()
 	return d.cfg.Timing.Tick
 }
 
-// noticePause restarts all waiting periods after this process was paused: the silence of a primary
-// counts only while the driver was listening.
-func (d *Driver) noticePause(now time.Time) {
-	if now.Sub(d.lastLook) > d.cfg.Timing.IdleTick+d.cfg.Timing.PauseLimit/2 {
-		d.watching = now
+// detectPause restarts all waiting periods after this process was paused, since the primary can't have
+// answered during that time.
+func (d *Driver) detectPause(now time.Time) {
+	if now.Sub(d.lastCheckAt) > d.cfg.Timing.IdleTick+d.cfg.Timing.PauseLimit/2 {
+		d.watchingSince = now
 	}
-	d.lastLook = now
+	d.lastCheckAt = now
 }
 
-// nextLook keeps the driver of a healthy group almost idle: failed polls wake it up.
-func (d *Driver) nextLook(a assessment) time.Duration {
+// nextCheckDelay returns the time until the next check. It is long for a healthy group, whose driver is
+// woken by a failed poll.
+func (d *Driver) nextCheckDelay(a assessment) time.Duration {
 	if a.primary < 0 || len(a.repairs) > 0 {
 		return d.cfg.Timing.Tick
 	}
@@ -119,21 +122,22 @@
 	d.mu.Unlock()
 }
 
-// enter calls the hook of a step and reports whether the driver was paused since the last step.
-func (d *Driver) enter(ctx context.Context, step Step, term core.Term) error {
+// beginStep calls the hook before a step. It returns errPaused if more than PauseLimit has passed since
+// the last step.
+func (d *Driver) beginStep(ctx context.Context, step Step, term core.Term) error {
 	if d.cfg.Hook != nil {
 		d.cfg.Hook(ctx, step, term)
 	}
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if time.Since(d.progress) > d.cfg.Timing.PauseLimit {
+	if time.Since(d.lastStepAt) > d.cfg.Timing.PauseLimit {
 		return fmt.Errorf("step %s: %w", step, errPaused)
 	}
 	return nil
 }
 
-// sleep waits and reports whether the whole time passed.
+// sleep waits for t and returns true, or returns false as soon as ctx ends.
 func sleep(ctx context.Context, t time.Duration) bool {
 	timer := time.NewTimer(t)
 	defer timer.Stop()
@@ -145,13 +149,13 @@
 	}
 }
 
-// backOff delays the next change, longer after each failure in a row. The time is random so that
-// two drivers that collided don't collide again.
+// backOff delays the next change, exponentially with the number of failures in a row. The delay is
+// random so that two drivers that collided don't collide again.
 func (d *Driver) backOff() {
 	t := d.cfg.Timing
 	limit := min(t.RetryMin<<min(d.attempts, 10), t.RetryMax)
 	d.attempts++
-	d.notBefore = time.Now().Add(limit/2 + d.random(limit))
+	d.retryAt = time.Now().Add(limit/2 + d.random(limit))
 }
 
 // random returns a duration in [0, limit).
--- a/core/elect/elect_test.go
+++ b/core/elect/elect_test.go
@@ -17,8 +17,8 @@
 	"snipewall/core/quorum"
 )
 
-// rig is a group with one entry VM.
-type rig struct {
+// harness is a fake group with the monitor and driver of one entry VM.
+type harness struct {
 	group  *fakes.Group
 	store  *fakes.Store
 	view   *quorum.Monitor
@@ -29,13 +29,13 @@
 	hook    func(step elect.Step)
 }
 
-// start runs the test's body in a bubble with a healthy group.
-func start(t *testing.T, cfg fakes.GroupConfig, body func(r *rig)) {
+// start runs the body in a synctest bubble with a group that has run for 3 s.
+func start(t *testing.T, cfg fakes.GroupConfig, body func(r *harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg.Group = "g"
 		cfg.Size = 3
 		cfg.Delay = time.Millisecond
-		r := &rig{group: fakes.NewGroup(cfg), store: fakes.NewStore()}
+		r := &harness{group: fakes.NewGroup(cfg), store: fakes.NewStore()}
 		defer r.group.Close()
 		defer r.store.Close()
 		upstreams := r.group.View("vm")
@@ -67,22 +67,22 @@
 	})
 }
 
-// completed returns the changes so far.
-func (r *rig) completed() []elect.Change {
+// completed returns the changes of primary that have completed.
+func (r *harness) completed() []elect.Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]elect.Change(nil), r.changes...)
 }
 
-func (r *rig) primary(t *testing.T) (core.UpstreamID, core.Term) {
+func (r *harness) primary(t *testing.T) (core.UpstreamID, core.Term) {
 	id, term, ok := r.view.Primary()
 	assert.Assert(t, ok, "no primary: %+v", r.driver.Dump())
 	return id, term
 }
 
-// Guards against a change of primary in a group that works.
+// Guards against a change of primary in a healthy group.
 func TestHealthyGroupKeepsPrimary(t *testing.T) {
-	start(t, fakes.GroupConfig{}, func(r *rig) {
+	start(t, fakes.GroupConfig{}, func(r *harness) {
 		time.Sleep(time.Minute)
 		id, term := r.primary(t)
 		assert.Equal(t, id, core.UpstreamID("u1"))
@@ -91,9 +91,10 @@
 	})
 }
 
-// Guards against a group that stays without a primary or whose old primary never comes back.
+// Guards against a group that stays without a primary after its primary fails, and against an old primary
+// that doesn't follow the new one after its restart.
 func TestKilledPrimaryIsReplacedAndRejoins(t *testing.T) {
-	start(t, fakes.GroupConfig{}, func(r *rig) {
+	start(t, fakes.GroupConfig{}, func(r *harness) {
 		r.group.Kill("u1")
 		time.Sleep(2 * time.Second)
 		id, term := r.primary(t)
@@ -110,17 +111,17 @@
 	})
 }
 
-// Guards against a group without any primary, as after its creation, that waits for an operator.
-func TestBlankGroupGetsPrimary(t *testing.T) {
-	start(t, fakes.GroupConfig{Blank: true}, func(r *rig) {
+// Guards against a newly created group that gets no primary without an operator.
+func TestNewGroupGetsPrimary(t *testing.T) {
+	start(t, fakes.GroupConfig{Blank: true}, func(r *harness) {
 		_, term := r.primary(t)
 		assert.Equal(t, term, core.Term(1))
 	})
 }
 
-// Guards against a planned change that loses entries or leaves the group with the leaving primary.
+// Guards against a planned change that loses entries, and against a leaving primary that isn't replaced.
 func TestLeavingPrimaryHandsOver(t *testing.T) {
-	start(t, fakes.GroupConfig{Lag: 50 * time.Millisecond}, func(r *rig) {
+	start(t, fakes.GroupConfig{Lag: 50 * time.Millisecond}, func(r *harness) {
 		p, err := r.group.Remote("vm", "u1").Write(context.Background(), "k", 1)
 		assert.NilError(t, err)
 		r.group.SetLeaving("u1", true)
@@ -134,10 +135,10 @@
 	})
 }
 
-// Guards against an upstream that promised a higher term to a driver that died, and that then can
-// never follow the primary again.
-func TestTermPassedIsRepaired(t *testing.T) {
-	start(t, fakes.GroupConfig{}, func(r *rig) {
+// Guards against an upstream that can't follow the primary because it has promised a higher term to a
+// driver that failed before it could promote.
+func TestHigherTermIsRepaired(t *testing.T) {
+	start(t, fakes.GroupConfig{}, func(r *harness) {
 		_, err := r.group.Remote("vm", "u3").Prepare(context.Background(), 7)
 		assert.NilError(t, err)
 		time.Sleep(4 * time.Second)
@@ -148,11 +149,11 @@
 	})
 }
 
-// Guards against a second change by a driver that was paused and goes on.
-func TestPausedDriverDecidesAnew(t *testing.T) {
+// Guards against a driver that was paused during a step and then continues its outdated change.
+func TestPausedDriverStartsOver(t *testing.T) {
 	for _, step := range []elect.Step{elect.StepDetect, elect.StepLease, elect.StepPrepare, elect.StepPromote, elect.StepFollow} {
 		t.Run(string(step), func(t *testing.T) {
-			start(t, fakes.GroupConfig{}, func(r *rig) {
+			start(t, fakes.GroupConfig{}, func(r *harness) {
 				var paused atomic.Bool
 				r.mu.Lock()
 				r.hook = func(s elect.Step) {
@@ -175,10 +176,10 @@
 	}
 }
 
-// Guards against a change because one entry VM can't reach a primary that its replicas hear, and
-// against a veto that lasts forever.
-func TestReplicasVetoUntilOverruled(t *testing.T) {
-	start(t, fakes.GroupConfig{}, func(r *rig) {
+// Guards against a change of primary because one entry VM can't reach a primary that the replicas still
+// hear from, and against a veto by the replicas that never ends.
+func TestReplicaVetoExpires(t *testing.T) {
+	start(t, fakes.GroupConfig{}, func(r *harness) {
 		cut := func(on bool) {
 			r.group.Cut("vm", "u1", on)
 			r.group.Cut("u1", "vm", on)
@@ -197,10 +198,10 @@
 	})
 }
 
-// Guards against a planned change that passes over an entry that a majority holds: the leaving primary
-// and one replica hold it, the other replica is far behind.
+// Guards against a planned change that loses an entry that a majority holds: the leaving primary and one
+// replica have it, the other replica is far behind.
 func TestLeavingPrimaryKeepsConfirmed(t *testing.T) {
-	start(t, fakes.GroupConfig{}, func(r *rig) {
+	start(t, fakes.GroupConfig{}, func(r *harness) {
 		r.group.Cut("u1", "u2", true)
 		ctx := context.Background()
 		p, err := r.group.Remote("vm", "u1").Write(ctx, "k", 7)
@@ -216,8 +217,8 @@
 	})
 }
 
-// Guards against a failover that needs the store: a store that is down, slow, loses answers, or holds
-// the lease of an entry VM that died may delay it by a bounded time only.
+// Guards against a failover that depends on the store: a store that is down, is slow, loses answers or
+// still has the lease of an entry VM that failed may only delay it, by a limited time.
 func TestStoreOnlyDelays(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -228,11 +229,11 @@
 		{"down", func(s *fakes.Store) { s.SetDown(true) }, 210 * time.Millisecond},
 		{"slow", func(s *fakes.Store) { s.SetDelay(5 * time.Second) }, 410 * time.Millisecond},
 		{"answers lost", func(s *fakes.Store) { s.LoseAnswers(9) }, 410 * time.Millisecond},
-		{"lease of a dead VM", takeLease, 1210 * time.Millisecond},
+		{"lease of a dead VM", acquireLeaseAsOther, 1210 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			start(t, fakes.GroupConfig{}, func(r *rig) {
+			start(t, fakes.GroupConfig{}, func(r *harness) {
 				tt.fault(r.store)
 				r.group.Kill("u1")
 				time.Sleep(5 * time.Second)
@@ -244,8 +245,8 @@
 	}
 }
 
-// takeLease holds the group's lease as another entry VM that never releases it.
-func takeLease(s *fakes.Store) {
+// acquireLeaseAsOther acquires the group's lease for another entry VM that never releases it.
+func acquireLeaseAsOther(s *fakes.Store) {
 	ctx := context.Background()
 	id, err := s.Grant(ctx, time.Minute)
 	if err != nil {
--- a/core/elect/event.go
+++ b/core/elect/event.go
@@ -9,15 +9,15 @@
 	"snipewall/core"
 )
 
-// maxEvents bounds the events that Dump shows.
+// maxEvents is the number of events that are kept for Dump.
 const maxEvents = 32
 
-// Event is the end of one step.
+// Event describes a step that has ended.
 type Event struct {
 	At   time.Time
 	Step Step
 	Term core.Term
-	// Upstream is the upstream that the step is about, or empty.
+	// Upstream is the upstream that the step acted on, or empty.
 	Upstream core.UpstreamID `json:",omitempty"`
 	Reason   Reason          `json:",omitempty"`
 	// Took is the duration of the step. For StepDetect it is the time since the primary's last answer.
@@ -26,24 +26,25 @@
 	Error string `json:",omitempty"`
 }
 
-// Change is a completed change of primary with the parts of the failover gap.
+// Change is a completed change of primary with the durations of its phases.
 type Change struct {
 	Reason Reason
 	// To is the new primary; it can be the old one.
 	To   core.UpstreamID
 	Term core.Term
-	// Detection is from the old primary's last answer, or from the first sight of the reason, to the
-	// decision. Delay is for the lease and the wait for other drivers. Prepare includes the drain of
-	// a planned change. Confirm is from the end of the promotion to the first confirmed position.
+	// Detection is the time from the old primary's last answer, or from when the reason first applied, to
+	// the decision. Delay is the time for acquiring the lease and waiting for other drivers. Prepare
+	// includes the drain of a planned change. Confirm is the time from the promotion to the first
+	// confirmed position.
 	Detection, Delay, Prepare, Promote, Confirm time.Duration
 }
 
-// Total returns the whole failover gap.
+// Total returns the duration of the whole change.
 func (c Change) Total() time.Duration {
 	return c.Detection + c.Delay + c.Prepare + c.Promote + c.Confirm
 }
 
-// record keeps the event, logs it and passes it on.
+// record stores the event for Dump, logs it and calls OnEvent.
 func (d *Driver) record(e Event) {
 	e.At = time.Now()
 	d.mu.Lock()
@@ -76,7 +77,7 @@
 	level.Info(l).Log("Msg", "failover step", "TookMs", e.Took.Milliseconds())
 }
 
-// errorText returns the text of the error, or empty.
+// errorText returns the text of the error, or an empty string for nil.
 func errorText(err error) string {
 	if err == nil {
 		return ""
--- a/core/elect/lease.go
+++ b/core/elect/lease.go
@@ -8,28 +8,29 @@
 	"snipewall/core"
 )
 
-// leaseAnswer is what the store said about the advisory lease.
-type leaseAnswer uint8
+// leaseResult is the result of acquiring the advisory lease.
+type leaseResult uint8
 
 const (
-	// leaseUnknown: there is no store, or it didn't answer in time.
-	leaseUnknown leaseAnswer = iota
-	leaseMine
-	leaseTaken
+	// leaseUnknown means that there is no store or that it didn't answer in time.
+	leaseUnknown leaseResult = iota
+	leaseAcquired
+	leaseHeldByOther
 )
 
-// lease is the advisory lease of a group. It only delays the second driver.
+// lease is the advisory lease of a group. It isn't needed for safety: a driver that doesn't get it only
+// acts later.
 type lease struct {
 	store core.Store
 	key   string
 	self  core.VMID
-	// id is the granted lease, or empty; held tells whether it holds the key.
+	// id is the granted lease, or empty; held is set while that lease owns the key.
 	id   core.LeaseID
 	held bool
 }
 
-// acquire tries to take the lease within the timeout.
-func (l *lease) acquire(ctx context.Context, ttl, timeout time.Duration) (leaseAnswer, error) {
+// acquire tries to acquire the lease within the timeout.
+func (l *lease) acquire(ctx context.Context, ttl, timeout time.Duration) (leaseResult, error) {
 	if l.store == nil {
 		return leaseUnknown, nil
 	}
@@ -39,17 +40,17 @@
 		return leaseUnknown, err
 	}
 	if l.held {
-		return leaseMine, nil
+		return leaseAcquired, nil
 	}
 	_, err := l.store.CompareAndSwap(ctx, l.key, []byte(l.self), 0, l.id)
 	if err != nil {
 		return l.readBack(ctx, err)
 	}
 	l.held = true
-	return leaseMine, nil
+	return leaseAcquired, nil
 }
 
-// renew keeps the lease of an earlier attempt alive or is granted a new one.
+// renew keeps the lease of an earlier attempt alive, or requests a new one.
 func (l *lease) renew(ctx context.Context, ttl time.Duration) error {
 	if l.id != "" && l.store.KeepAlive(ctx, l.id) == nil {
 		return nil
@@ -63,20 +64,20 @@
 	return nil
 }
 
-// readBack finds out who holds the key after a swap that failed or whose answer was lost.
-func (l *lease) readBack(ctx context.Context, cause error) (leaseAnswer, error) {
+// readBack reads who holds the key after a compare-and-swap that failed or whose answer was lost.
+func (l *lease) readBack(ctx context.Context, cause error) (leaseResult, error) {
 	entry, err := l.store.Get(ctx, l.key)
 	if err != nil {
 		return leaseUnknown, errors.Join(cause, err)
 	}
 	if entry.Lease != l.id && string(entry.Value) != string(l.self) {
-		return leaseTaken, nil
+		return leaseHeldByOther, nil
 	}
 	l.held = entry.Lease == l.id
-	return leaseMine, nil
+	return leaseAcquired, nil
 }
 
-// release ends the lease, as far as the store answers in time. An unreleased lease expires.
+// release revokes the lease within the timeout. If that fails, the lease expires.
 func (l *lease) release(ctx context.Context, timeout time.Duration) error {
 	if l.store == nil || l.id == "" {
 		return nil
--- a/core/elect/pause_test.go
+++ b/core/elect/pause_test.go
@@ -12,7 +12,7 @@
 	"snipewall/core/quorum"
 )
 
-// fixedView reports what a test sets.
+// fixedView is a View with reports that the test sets.
 type fixedView struct{ reports []quorum.Report }
 
 func (v *fixedView) Reports() []quorum.Report                     { return v.reports }
@@ -21,8 +21,8 @@
 func (v *fixedView) Age(core.UpstreamID) (time.Duration, bool)    { return 0, true }
 func (v *fixedView) Suspect(core.UpstreamID)                      {}
 
-// Guards against an entry VM that was paused and takes its own pause for the primary's silence: the
-// replicas' first statuses after the pause can come before the primary's.
+// Guards against an entry VM that was paused and takes the pause for a failure of the primary, when the
+// replicas' first statuses after the pause arrive before the primary's.
 func TestPausedVMDoesNotSuspectPrimary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		status := func(role core.Role) core.UpstreamStatus {
@@ -41,20 +41,20 @@
 		}
 		for range 10 {
 			report(0)
-			d.noticePause(time.Now())
+			d.detectPause(time.Now())
 			time.Sleep(d.cfg.Timing.IdleTick)
 		}
 		time.Sleep(time.Minute)
 		report(time.Minute)
 		now := time.Now()
-		d.noticePause(now)
+		d.detectPause(now)
 		a := d.assess(now)
 		assert.Equal(t, a.reason, ReasonSilent)
 		assert.Assert(t, !a.ready)
 		for range 80 {
 			time.Sleep(d.cfg.Timing.Tick)
 			report(time.Since(now))
-			d.noticePause(time.Now())
+			d.detectPause(time.Now())
 		}
 		assert.Assert(t, d.assess(time.Now()).ready, "the silence after the pause must count")
 	})
--- a/core/elect/repair.go
+++ b/core/elect/repair.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// repair tells the upstreams that fell out of the group to follow the primary. It is safe at any
-// time: an upstream that has promised a higher term refuses, and the primary's log holds all that
-// was confirmed in lower terms.
+// repair tells the upstreams in a.repairs to follow the primary. This is safe at any time: an upstream
+// that has promised a higher term refuses, and the primary's log holds all entries that were confirmed
+// in lower terms.
 func (d *Driver) repair(ctx context.Context, now time.Time, a assessment) {
 	for _, i := range a.repairs {
-		if now.Sub(d.repaired[i]) < d.cfg.Timing.RepairEvery {
+		if now.Sub(d.repairedAt[i]) < d.cfg.Timing.RepairInterval {
 			continue
 		}
-		d.progress = now
-		if err := d.enter(ctx, StepRepair, a.term); err != nil {
+		d.lastStepAt = now
+		if err := d.beginStep(ctx, StepRepair, a.term); err != nil {
 			if errors.Is(err, errPaused) {
-				d.watching = time.Now()
+				d.watchingSince = time.Now()
 			}
 			return
 		}
-		d.repaired[i] = time.Now()
+		d.repairedAt[i] = time.Now()
 		d.repairOne(ctx, i, a)
 	}
 }
 
-// repairOne sends follow in its own goroutine, since an upstream that doesn't answer must not delay
-// the detection of a failed primary.
+// repairOne sends follow in a new goroutine, so that an upstream that doesn't answer can't delay the
+// detection of a failed primary.
 func (d *Driver) repairOne(ctx context.Context, i int, a assessment) {
 	start := time.Now()
 	primary := d.cfg.Upstreams[a.primary].Info()
--- a/core/elect/step.go
+++ b/core/elect/step.go
@@ -1,36 +1,36 @@
 package elect
 
-// Step is a step of a driver. The fault matrix enumerates Steps.
+// Step is a step of a change of primary. The fault matrix injects faults at each of Steps.
 type Step string
 
-// Steps in the order in which a driver takes them. StepDrain and StepCatchUp belong to a planned
-// change only, StepRepair to the time after a change.
+// Steps in the order in which a driver runs them. StepDrain and StepCatchUp are part of planned changes
+// only. StepRepair is not part of a change.
 const (
 	// StepDetect decides that a change is needed.
 	StepDetect Step = "Detect"
 	// StepLease asks the store for the advisory lease.
 	StepLease Step = "Lease"
-	// StepDelay waits for the holder of the lease, or for a random time if the store doesn't answer.
+	// StepDelay waits for the lease's holder, or for a random time if the store doesn't answer.
 	StepDelay Step = "Delay"
-	// StepDrain prepares a leaving primary, which then takes no more commits.
+	// StepDrain sends prepare to a leaving primary, which then takes no more commits.
 	StepDrain Step = "Drain"
 	// StepCatchUp waits until a replica holds the leaving primary's whole log.
 	StepCatchUp Step = "CatchUp"
-	// StepPrepare prepares the upstreams.
+	// StepPrepare sends prepare to the upstreams.
 	StepPrepare Step = "Prepare"
 	// StepPromote promotes the upstream with the highest log.
 	StepPromote Step = "Promote"
-	// StepFollow tells the other upstreams to follow.
+	// StepFollow tells the other upstreams to follow the new primary.
 	StepFollow Step = "Follow"
-	// StepConfirm waits for the first position that is confirmed under the new term.
+	// StepConfirm waits for the first position that is confirmed in the new term.
 	StepConfirm Step = "Confirm"
-	// StepRelease gives up the lease.
+	// StepRelease releases the lease.
 	StepRelease Step = "Release"
-	// StepRepair tells an upstream that fell out of the group to follow the primary.
+	// StepRepair tells an upstream that doesn't follow the primary to do so.
 	StepRepair Step = "Repair"
 )
 
-// Steps returns all steps in order.
+// Steps returns all steps in the order of the constants.
 func Steps() []Step {
 	return []Step{
 		StepDetect, StepLease, StepDelay, StepDrain, StepCatchUp, StepPrepare, StepPromote,
@@ -38,24 +38,25 @@
 	}
 }
 
-// Reason is why a change starts.
+// Reason is the reason of a change of primary.
 type Reason string
 
 // Reasons of a change.
 const (
-	// ReasonSilent: the primary has given no successful status for SilentAfter.
+	// ReasonSilent means that no status poll of the primary has succeeded for SilentAfter.
 	ReasonSilent Reason = "primary silent"
-	// ReasonRefused: the primary has refused connections for RefusedAfter.
+	// ReasonRefused means that the primary has refused connections for RefusedAfter.
 	ReasonRefused Reason = "primary refuses connections"
-	// ReasonNone: no upstream is primary of the term that a majority has promised.
+	// ReasonNone means that no upstream is primary of the term that a majority has promised.
 	ReasonNone Reason = "no primary"
-	// ReasonTermPassed: an upstream has promised a term above the primary's, so it can't follow.
-	ReasonTermPassed Reason = "term passed"
-	// ReasonLeaving: the primary is leaving.
+	// ReasonHigherTerm means that an upstream has promised a term above the primary's and therefore can't
+	// follow it.
+	ReasonHigherTerm Reason = "term passed"
+	// ReasonLeaving means that the primary is leaving.
 	ReasonLeaving Reason = "primary leaving"
 )
 
-// class merges the reasons that turn into each other while the same failure lasts.
+// class maps the reasons that alternate during one failure to one of them.
 func (r Reason) class() Reason {
 	if r == ReasonRefused {
 		return ReasonSilent
