--- a/core/elect/assess.go
+++ b/core/elect/assess.go
@@ -223,7 +223,7 @@
 	if r.Status.Leaving {
 		return true
 	}
-	return d.cfg.Members != nil && d.cfg.Members.Leaving(r.ID)
+	return d.cfg.Members != nil && d.cfg.Members.IsLeaving(r.ID)
 }
 
 // hasSuccessor reports whether a replica that isn't leaving has data at most MaxSuccessorAge old.
