--- a/core/quorum/bench_test.go
+++ b/core/quorum/bench_test.go
@@ -12,17 +12,17 @@
 	"snipewall/core/quorum"
 )
 
-// still is an upstream that answers at once and never changes.
-type still struct {
+// staticUpstream is an upstream that answers at once, always with the same status.
+type staticUpstream struct {
 	core.Upstream
 	info   core.UpstreamInfo
 	status core.UpstreamStatus
 }
 
-func (s *still) Info() core.UpstreamInfo                             { return s.info }
-func (s *still) Status(context.Context) (core.UpstreamStatus, error) { return s.status, nil }
+func (s *staticUpstream) Info() core.UpstreamInfo                             { return s.info }
+func (s *staticUpstream) Status(context.Context) (core.UpstreamStatus, error) { return s.status, nil }
 
-func stillGroup(n int) []core.Upstream {
+func newStaticGroup(n int) []core.Upstream {
 	id := core.GroupID(fmt.Sprintf("g%d", n))
 	ups := make([]core.Upstream, 3)
 	for i := range ups {
@@ -30,7 +30,7 @@
 		if i == 0 {
 			st.Role = core.RolePrimary
 		}
-		ups[i] = &still{info: core.UpstreamInfo{ID: core.UpstreamID(fmt.Sprintf("%s-u%d", id, i)), Group: id}, status: st}
+		ups[i] = &staticUpstream{info: core.UpstreamInfo{ID: core.UpstreamID(fmt.Sprintf("%s-u%d", id, i)), Group: id}, status: st}
 	}
 	return ups
 }
@@ -50,9 +50,9 @@
 	return s.HeapAlloc + s.StackInuse
 }
 
-// BenchmarkIdleGroups measures what a monitored group costs when nobody waits, without the adapter
-// that carries the polls: bytes of heap and stack, and CPU time per second. A group that was used
-// lately is polled at the usual interval, one that wasn't at the quiet interval.
+// BenchmarkIdleGroups measures the heap and stack size and the CPU time of a monitored group without
+// waiting callers. The upstreams are fakes, so that the cost of sending polls isn't included. "Used"
+// groups are polled every PollInterval, "Quiet" ones every QuietInterval.
 func BenchmarkIdleGroups(b *testing.B) {
 	modes := []struct {
 		name  string
@@ -76,7 +76,7 @@
 	ends := make(chan error, n)
 	for i := range n {
 		m := quorum.New(quorum.Config{
-			Group: core.GroupID(fmt.Sprintf("g%d", i)), Upstreams: stillGroup(i), QuietAfter: quietAfter,
+			Group: core.GroupID(fmt.Sprintf("g%d", i)), Upstreams: newStaticGroup(i), QuietAfter: quietAfter,
 		})
 		go func() { ends <- m.Run(ctx) }()
 	}
@@ -95,9 +95,9 @@
 	b.ReportMetric(float64(cpu.Microseconds())/span.Seconds()/float64(n), "cpu-us/s/group")
 }
 
-// BenchmarkReadIndex measures read indexes with many callers that share polls.
+// BenchmarkReadIndex measures ReadIndex with many concurrent callers, which share polls.
 func BenchmarkReadIndex(b *testing.B) {
-	m := quorum.New(quorum.Config{Group: "g", Upstreams: stillGroup(0)})
+	m := quorum.New(quorum.Config{Group: "g", Upstreams: newStaticGroup(0)})
 	ctx, cancel := context.WithCancel(context.Background())
 	end := make(chan error, 1)
 	go func() { end <- m.Run(ctx) }()
--- a/core/quorum/config.go
+++ b/core/quorum/config.go
@@ -13,25 +13,25 @@
 	DefaultQuietAfter     = 10 * time.Second
 	DefaultDemandInterval = time.Millisecond
 	DefaultPollTimeout    = 500 * time.Millisecond
-	DefaultStatusLife     = 1200 * time.Millisecond
+	DefaultStatusTTL      = 1200 * time.Millisecond
 )
 
-// Config constructs a Monitor. Zero durations take the defaults.
+// Config configures a Monitor. Durations that are not positive take the defaults.
 type Config struct {
 	Group     core.GroupID
 	Upstreams []core.Upstream
-	// PollInterval is the time between polls when nobody waits.
+	// PollInterval is the time between polls without waiting callers.
 	PollInterval time.Duration
-	// QuietInterval is the time between polls when no method that serves requests was called for
-	// QuietAfter and all upstreams answer.
+	// QuietInterval is the time between polls of a quiet group: all upstreams answer, and no method that
+	// serves requests was called for QuietAfter.
 	QuietInterval, QuietAfter time.Duration
-	// DemandInterval is the shortest time between polls of one upstream when somebody waits.
+	// DemandInterval is the shortest time between polls of one upstream with waiting callers.
 	DemandInterval time.Duration
 	// PollTimeout limits one poll. Two timeouts fit into the 1.2 s after which a failover starts, so
-	// that one lost poll alone never causes one.
+	// that one lost poll can't cause a failover.
 	PollTimeout time.Duration
-	// StatusLife is how long a status counts as recent for Primary.
-	StatusLife time.Duration
+	// StatusTTL is the age up to which Primary uses a status.
+	StatusTTL time.Duration
 }
 
 func (cfg *Config) setDefaults() {
@@ -50,12 +50,12 @@
 	if cfg.PollTimeout <= 0 {
 		cfg.PollTimeout = DefaultPollTimeout
 	}
-	if cfg.StatusLife <= 0 {
-		cfg.StatusLife = DefaultStatusLife
+	if cfg.StatusTTL <= 0 {
+		cfg.StatusTTL = DefaultStatusTTL
 	}
 }
 
-// New returns a monitor that starts polling when Run is called.
+// New returns a monitor. It doesn't poll until Run is called.
 func New(cfg Config) *Monitor {
 	cfg.setDefaults()
 	n := len(cfg.Upstreams)
@@ -65,7 +65,7 @@
 		members:  make([]member, n),
 		index:    make(map[core.UpstreamID]int, n),
 		results:  make(chan pollResult, n),
-		kick:     make(chan struct{}, 1),
+		wakeup:   make(chan struct{}, 1),
 		changed:  make(chan struct{}, 1),
 	}
 	for i, up := range cfg.Upstreams {
--- a/core/quorum/doc.go
+++ b/core/quorum/doc.go
@@ -1,29 +1,30 @@
-// Package quorum monitors one database group. It polls the status of each upstream and derives the
-// primary, the confirmed position, read indexes and the age of each upstream's data from the
-// answers. It implements core.GroupView and core.Service.
+// Package quorum monitors one database group. It polls the status of each upstream and derives from the
+// answers the primary, the confirmed position, read indexes and the age of each upstream's data. A
+// Monitor implements core.GroupView and core.Service.
 //
 // # Polls
 //
-// One poll per upstream is in flight at most, and its answer serves all waiting callers. A group
-// without waiting callers is polled every PollInterval. A waiting caller shortens the interval: to
-// DemandInterval at first, then to an eighth of the time that such callers usually wait, so that
-// the number of polls per wait stays bounded when replicas lag. Each poll has a deadline and its
-// own goroutine, so that a silent upstream delays only itself.
+// Each upstream has at most one poll in flight, and its answer serves all waiting callers. A group
+// without waiting callers is polled every PollInterval. With a waiting caller, the interval is
+// DemandInterval at first and then an eighth of the average wait, so that the number of polls per wait
+// stays bounded when replicas lag. Each poll has a deadline and its own goroutine, so that an upstream
+// that doesn't answer doesn't delay the polls of others.
 //
-// # Why old statuses count
+// # Use of old statuses
 //
-// Promised terms and log positions under one promised term only grow. If a majority has reported
-// promised term t and log (t, >= o), at whatever times, then (t, o) is safe: any later majority of
+// Promised terms, and log positions under one promised term, only grow. If a majority has reported
+// promised term t and log (t, >= o), at any times, then (t, o) is safe: any later majority for
 // prepare(t') contains one of these upstreams, and its answer includes the entry. Confirm therefore
-// uses the last status of each upstream whatever its age. ReadIndex and Age need more: they rest on
-// polls that started after the call, since only these show that no higher term was in force.
+// uses the last status of each upstream regardless of its age. ReadIndex uses only polls that started
+// after the call, and Age counts from the start of the polls, since only these show that no higher
+// term was in force at that time.
 //
 // # Size
 //
-// A Monitor with 3 upstreams holds about 9 KB, most of it the stacks of Run and of a poll. The ring of
+// A Monitor with 3 upstreams uses about 9 KB, most of it for the stacks of Run and of a poll. The list of
 // samples grows to another 2.5 KB under writes. BenchmarkIdleGroups measures bytes and CPU time per
-// group. A group that no request has asked for in 10 s, and whose upstreams all answer, is polled once
-// per second instead of ten times.
+// group. A group that no request has used for 10 s, and whose upstreams all answer, is polled once per
+// second instead of ten times.
 //
 // # Usage
 //
--- a/core/quorum/monitor.go
+++ b/core/quorum/monitor.go
@@ -10,54 +10,56 @@
 	"snipewall/core"
 )
 
-// failedGap is the shortest time between polls of an upstream whose last poll failed, so that
-// waiting callers don't flood an upstream that refuses connections.
-const failedGap = 20 * time.Millisecond
+// minFailedInterval is the shortest time between polls of an upstream whose last poll failed, so that
+// waiting callers don't cause a flood of polls to an upstream that refuses connections.
+const minFailedInterval = 20 * time.Millisecond
 
-// Monitor implements core.GroupView and core.Service for one group.
+// Monitor polls the upstreams of one group. It implements core.GroupView and core.Service and is safe for
+// concurrent use.
 type Monitor struct {
 	cfg      Config
 	majority int
 	index    map[core.UpstreamID]int
 	results  chan pollResult
-	kick     chan struct{}
+	wakeup   chan struct{}
 	changed  chan struct{}
 
 	mu      sync.Mutex
 	members []member
-	// polls counts the polls that have started.
+	// polls is the number of polls started so far.
 	polls     uint64
 	tally     tally
 	confirmed core.Position
 	samples   samples
 	waits     waitList
-	// usedAt is when a request last asked for anything, interval what the idle polls keep at present.
-	usedAt   time.Time
-	interval time.Duration
-	stopped  bool
+	// lastUsedAt is when a request last used the group; interval is the current time between idle polls.
+	lastUsedAt time.Time
+	interval   time.Duration
+	stopped    bool
 }
 
-// member is what the monitor knows of one upstream.
+// member is the monitor's state of one upstream.
 type member struct {
-	upstream core.Upstream
-	id       core.UpstreamID
-	status   core.UpstreamStatus
-	have     bool
-	// poll and pollAt belong to the poll that brought the status; gotAt is when the answer came.
-	poll   uint64
-	pollAt time.Time
-	gotAt  time.Time
-	// contactAt is when the upstream last answered anything.
-	contactAt time.Time
-	// refusedSince is when the current run of refused connections began, or zero.
+	upstream  core.Upstream
+	id        core.UpstreamID
+	status    core.UpstreamStatus
+	hasStatus bool
+	// poll and pollAt are the number and start of the poll that returned status; receivedAt is when the
+	// answer arrived.
+	poll       uint64
+	pollAt     time.Time
+	receivedAt time.Time
+	// answeredAt is when the upstream last sent any answer.
+	answeredAt time.Time
+	// refusedSince is when the upstream began to refuse connections, or zero.
 	refusedSince time.Time
-	// unansweredAt is the start of the first poll since the last contact that has no answer yet.
-	unansweredAt time.Time
-	err          error
-	inFlight     bool
-	urgent       bool
-	startedAt    time.Time
-	waits        waitList
+	// unansweredSince is the start of the first unanswered poll since answeredAt, or zero.
+	unansweredSince time.Time
+	err             error
+	inFlight        bool
+	pollNow         bool
+	pollStartedAt   time.Time
+	waits           waitList
 }
 
 type pollResult struct {
@@ -71,12 +73,13 @@
 // Name implements core.Service.
 func (m *Monitor) Name() string { return "quorum/" + string(m.cfg.Group) }
 
-// Run polls until ctx ends. It returns after its polls have returned, and ends all waits.
+// Run polls until ctx ends. It then waits for its polls, ends all waiting calls with an error and
+// returns nil.
 func (m *Monitor) Run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	m.mu.Lock()
-	m.usedAt = time.Now()
+	m.lastUsedAt = time.Now()
 	m.mu.Unlock()
 	inFlight := 0
 	for ctx.Err() == nil {
@@ -85,11 +88,11 @@
 		timer.Reset(next)
 		select {
 		case <-ctx.Done():
-		case <-m.kick:
+		case <-m.wakeup:
 		case <-timer.C:
 		case r := <-m.results:
 			inFlight--
-			m.take(r)
+			m.handleResult(r)
 		}
 	}
 	for ; inFlight > 0; inFlight-- {
@@ -112,94 +115,94 @@
 
 func (m *Monitor) wake() {
 	select {
-	case m.kick <- struct{}{}:
+	case m.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// startPolls starts the polls that are due and returns their number and the time to the next one.
-// Polls that are almost due join those that are, so that idle polls form rounds: a sample needs a
-// majority of polls that start together.
+// startPolls starts the polls that are due and returns their number and the time until the next one.
+// Polls that are almost due are started together with those that are due, so that idle polls stay
+// aligned: a sample needs a majority of polls that start at the same time.
 func (m *Monitor) startPolls(ctx context.Context) (int, time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	m.interval = m.intervalLocked(now)
 	started, next := 0, m.interval
-	join := time.Duration(0)
+	tolerance := time.Duration(0)
 	for i := range m.members {
-		if !m.members[i].inFlight && m.dueLocked(i, now) <= 0 {
-			join = m.interval / 10
+		if !m.members[i].inFlight && m.untilPollLocked(i, now) <= 0 {
+			tolerance = m.interval / 10
 		}
 	}
 	for i := range m.members {
 		if m.members[i].inFlight {
 			continue
 		}
-		due := m.dueLocked(i, now)
-		if due > join {
+		due := m.untilPollLocked(i, now)
+		if due > tolerance {
 			next = min(next, due)
 			continue
 		}
-		m.startLocked(ctx, i, now)
+		m.startPollLocked(ctx, i, now)
 		started++
 	}
 	return started, next
 }
 
-// intervalLocked returns the time between idle polls. A failed poll ends a quiet time, so that failover
-// takes no longer from then on.
+// intervalLocked returns the time between idle polls. After a failed poll it is PollInterval again, so
+// that a quiet group doesn't take longer to fail over.
 func (m *Monitor) intervalLocked(now time.Time) time.Duration {
-	if now.Sub(m.usedAt) < m.cfg.QuietAfter {
+	if now.Sub(m.lastUsedAt) < m.cfg.QuietAfter {
 		return m.cfg.PollInterval
 	}
 	for i := range m.members {
 		mb := &m.members[i]
-		if !mb.have || mb.err != nil || mb.urgent {
+		if !mb.hasStatus || mb.err != nil || mb.pollNow {
 			return m.cfg.PollInterval
 		}
 	}
 	return m.cfg.QuietInterval
 }
 
-// touchLocked notes that a request needs the group and ends a quiet time.
-func (m *Monitor) touchLocked(now time.Time) {
-	m.usedAt = now
+// markUsedLocked notes that a request uses the group, and wakes Run if the group was quiet.
+func (m *Monitor) markUsedLocked(now time.Time) {
+	m.lastUsedAt = now
 	if m.interval > m.cfg.PollInterval {
 		m.wake()
 	}
 }
 
-// dueLocked returns the time until the member's next poll.
-func (m *Monitor) dueLocked(i int, now time.Time) time.Duration {
+// untilPollLocked returns the time until the member's next poll.
+func (m *Monitor) untilPollLocked(i int, now time.Time) time.Duration {
 	mb := &m.members[i]
-	if mb.startedAt.IsZero() {
+	if mb.pollStartedAt.IsZero() {
 		return 0
 	}
-	gap := m.interval
-	if g, ok := m.waits.gap(now, m.cfg.DemandInterval, gap); ok {
-		gap = g
+	interval := m.interval
+	if g, ok := m.waits.pollInterval(now, m.cfg.DemandInterval, interval); ok {
+		interval = g
 	}
-	if g, ok := mb.waits.gap(now, m.cfg.DemandInterval, gap); ok {
-		gap = g
+	if g, ok := mb.waits.pollInterval(now, m.cfg.DemandInterval, interval); ok {
+		interval = g
 	}
-	if mb.urgent {
-		gap = m.cfg.DemandInterval
+	if mb.pollNow {
+		interval = m.cfg.DemandInterval
 	}
 	if mb.err != nil {
-		gap = max(gap, min(failedGap, m.cfg.PollInterval))
+		interval = max(interval, min(minFailedInterval, m.cfg.PollInterval))
 	}
-	return gap - now.Sub(mb.startedAt)
+	return interval - now.Sub(mb.pollStartedAt)
 }
 
-func (m *Monitor) startLocked(ctx context.Context, i int, now time.Time) {
+func (m *Monitor) startPollLocked(ctx context.Context, i int, now time.Time) {
 	mb := &m.members[i]
 	m.polls++
 	mb.inFlight = true
-	mb.urgent = false
-	mb.startedAt = now
-	if mb.unansweredAt.IsZero() {
-		mb.unansweredAt = now
+	mb.pollNow = false
+	mb.pollStartedAt = now
+	if mb.unansweredSince.IsZero() {
+		mb.unansweredSince = now
 	}
 	r := pollResult{member: i, poll: m.polls, start: now}
 	go func(up core.Upstream) {
@@ -210,26 +213,26 @@
 	}(mb.upstream)
 }
 
-// take records the result of a poll and settles the waits that it answers.
-func (m *Monitor) take(r pollResult) {
+// handleResult records the result of a poll and ends the waits that it satisfies.
+func (m *Monitor) handleResult(r pollResult) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	mb := &m.members[r.member]
 	mb.inFlight = false
 	if r.err != nil {
-		m.takeFailureLocked(mb, r.err, now)
+		m.handleFailureLocked(mb, r.err, now)
 		return
 	}
-	before, had, failed := mb.status, mb.have, mb.err != nil
+	before, had, failed := mb.status, mb.hasStatus, mb.err != nil
 	mb.status = r.status
-	mb.have = true
+	mb.hasStatus = true
 	mb.poll = r.poll
 	mb.pollAt = r.start
-	mb.gotAt = now
-	mb.contactAt = now
+	mb.receivedAt = now
+	mb.answeredAt = now
 	mb.refusedSince = time.Time{}
-	mb.unansweredAt = time.Time{}
+	mb.unansweredSince = time.Time{}
 	mb.err = nil
 	m.updateLocked()
 	m.settleLocked(now)
@@ -238,14 +241,14 @@
 	}
 }
 
-func (m *Monitor) takeFailureLocked(mb *member, err error, now time.Time) {
+func (m *Monitor) handleFailureLocked(mb *member, err error, now time.Time) {
 	mb.err = err
 	var limit *core.RefusedError
 	switch {
 	case errors.As(err, &limit):
-		mb.contactAt = now
+		mb.answeredAt = now
 		mb.refusedSince = time.Time{}
-		mb.unansweredAt = time.Time{}
+		mb.unansweredSince = time.Time{}
 	case !errors.Is(err, syscall.ECONNREFUSED):
 		mb.refusedSince = time.Time{}
 	case mb.refusedSince.IsZero():
@@ -254,23 +257,23 @@
 	m.notify()
 }
 
-// needsAttention reports whether a driver should look at the change.
+// needsAttention reports whether the failover driver must be notified of the status change.
 func needsAttention(a, b core.UpstreamStatus) bool {
 	return a.Role != b.Role || a.Promised != b.Promised || a.Leaving != b.Leaving || a.Log.Term != b.Log.Term
 }
 
-// updateLocked recomputes the tally, the confirmed position and the samples.
+// updateLocked updates the tally, the confirmed position and the samples.
 func (m *Monitor) updateLocked() {
-	fresh := m.tally.fresh
+	fresh := m.tally.freshPoll
 	term := m.tally.promised
-	m.tally = count(m.members, m.majority)
+	m.tally = newTally(m.members, m.majority)
 	if m.tally.promised > term {
 		m.samples.dropAfter(m.confirmed)
 	}
-	if m.tally.holds && m.confirmed.Less(m.tally.confirmed) {
+	if m.tally.isConfirmed && m.confirmed.Less(m.tally.confirmed) {
 		m.confirmed = m.tally.confirmed
 	}
-	if m.tally.fresh > fresh {
+	if m.tally.freshPoll > fresh {
 		at := m.members[m.tally.freshMember].pollAt
 		m.samples.add(at, m.members[m.tally.primary].status.Log)
 	}
--- a/core/quorum/quorum_test.go
+++ b/core/quorum/quorum_test.go
@@ -14,7 +14,7 @@
 	"snipewall/core/quorum"
 )
 
-// run runs the body in a bubble with a monitored group of three.
+// run runs the body in a synctest bubble with a monitored group of three upstreams.
 func run(t *testing.T, cfg fakes.GroupConfig, body func(ctx context.Context, g *fakes.Group, m *quorum.Monitor)) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg.Group = "g"
@@ -35,15 +35,14 @@
 	})
 }
 
-// write commits to the primary of a new group.
+// write commits a value on u1, the primary of a new group.
 func write(t *testing.T, g *fakes.Group) core.Position {
 	p, err := g.Remote("vm", "u1").Write(context.Background(), "k", 1)
 	assert.NilError(t, err)
 	return p
 }
 
-// Guards against an acknowledgment before a majority holds the write, and against one that waits
-// for the idle poll.
+// Guards against a write that is confirmed before a majority holds it, or only with the next idle poll.
 func TestConfirmFollowsReplication(t *testing.T) {
 	run(t, fakes.GroupConfig{Lag: 40 * time.Millisecond}, func(ctx context.Context, g *fakes.Group, m *quorum.Monitor) {
 		p := write(t, g)
@@ -54,8 +53,8 @@
 	})
 }
 
-// Guards against an acknowledgment by an isolated primary.
-func TestConfirmFailsOnceTermIsPassed(t *testing.T) {
+// Guards against confirming a write of an old primary after a majority has promised a higher term.
+func TestConfirmFailsAfterHigherTerm(t *testing.T) {
 	run(t, fakes.GroupConfig{}, func(ctx context.Context, g *fakes.Group, m *quorum.Monitor) {
 		for _, id := range []core.UpstreamID{"u2", "u3"} {
 			_, err := g.Remote("vm", id).Prepare(ctx, 2)
@@ -68,7 +67,7 @@
 	})
 }
 
-// Guards against a read index taken from a poll that began before the call.
+// Guards against a read index from a poll that started before the call: it may miss an earlier write.
 func TestReadIndexCoversEarlierWrites(t *testing.T) {
 	run(t, fakes.GroupConfig{}, func(ctx context.Context, g *fakes.Group, m *quorum.Monitor) {
 		for range 50 {
@@ -80,7 +79,7 @@
 	})
 }
 
-// Guards against a read index while no majority can be reached.
+// Guards against a read index without a majority that can be reached.
 func TestReadIndexNeedsMajority(t *testing.T) {
 	run(t, fakes.GroupConfig{}, func(ctx context.Context, g *fakes.Group, m *quorum.Monitor) {
 		g.Cut("vm", "u2", true)
@@ -92,7 +91,7 @@
 	})
 }
 
-// Guards against a replica's data passing for newer than it is.
+// Guards against an age of a replica's data that is lower than the actual one.
 func TestAgeGrowsWithLag(t *testing.T) {
 	run(t, fakes.GroupConfig{Lag: 300 * time.Millisecond}, func(ctx context.Context, g *fakes.Group, m *quorum.Monitor) {
 		stop := time.Now().Add(3 * time.Second)
@@ -115,7 +114,7 @@
 	})
 }
 
-// Guards against a wait for a replica that ends early or never.
+// Guards against a wait for a replica that ends too early or never.
 func TestWaitApplied(t *testing.T) {
 	run(t, fakes.GroupConfig{Lag: 100 * time.Millisecond}, func(ctx context.Context, g *fakes.Group, m *quorum.Monitor) {
 		p := write(t, g)
@@ -125,8 +124,8 @@
 	})
 }
 
-// Guards against a silent upstream that delays the polls of the others.
-func TestSilentUpstreamDelaysNobody(t *testing.T) {
+// Guards against an upstream that doesn't answer and thereby delays the polls of the others.
+func TestSilentUpstreamDoesNotDelayOthers(t *testing.T) {
 	run(t, fakes.GroupConfig{}, func(ctx context.Context, g *fakes.Group, m *quorum.Monitor) {
 		g.Freeze("u3")
 		for range 20 {
@@ -140,7 +139,7 @@
 	})
 }
 
-// Guards against callers that wait forever for a monitor that has stopped.
+// Guards against callers that wait forever after the monitor has stopped.
 func TestStopEndsWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := fakes.NewGroup(fakes.GroupConfig{Group: "g", Size: 3})
@@ -158,8 +157,8 @@
 	})
 }
 
-// Guards against idle traffic for groups that nobody uses, against a slow first request to such a
-// group, and against a failover that takes the long interval for silence.
+// Guards against frequent polls of groups that nobody uses, against a slow first request to such a group,
+// and against counting its long poll interval as silence of the primary.
 func TestUnusedGroupIsPolledLess(t *testing.T) {
 	run(t, fakes.GroupConfig{}, func(ctx context.Context, g *fakes.Group, m *quorum.Monitor) {
 		polls := func(span time.Duration) uint64 {
@@ -187,7 +186,7 @@
 	})
 }
 
-// Guards against a flood of polls to an upstream that refuses connections while requests fail.
+// Guards against a flood of polls, caused by failing requests, to an upstream that refuses connections.
 func TestSuspectDoesNotFlood(t *testing.T) {
 	run(t, fakes.GroupConfig{}, func(_ context.Context, g *fakes.Group, m *quorum.Monitor) {
 		g.Kill("u1")
--- a/core/quorum/sample.go
+++ b/core/quorum/sample.go
@@ -7,36 +7,38 @@
 )
 
 const (
-	// maxSamples bounds the memory of a group. With gaps that grow with the age, 64 samples at a poll
-	// interval of 100 ms reach back about 15 min.
+	// maxSamples limits the memory per group. Since gaps between samples grow with their age, 64 samples
+	// at a poll interval of 100 ms cover about 15 min.
 	maxSamples = 64
-	// thinRatio is the age of a sample divided by the smallest gap between its neighbors that a full
-	// list keeps. The age of a replica's data is overstated by at most a quarter.
+	// thinRatio: a full list keeps a sample only if the gap between its neighbors is at least the sample's
+	// age divided by thinRatio. The age of a replica's data is overstated by at most a quarter.
 	thinRatio = 4
-	// sampleGap keeps polls on demand, which can be 1 ms apart, from displacing old samples.
-	sampleGap = 20 * time.Millisecond
+	// minSampleGap is the shortest time between samples. It keeps polls on demand, which can be 1 ms
+	// apart, from displacing old samples.
+	minSampleGap = 20 * time.Millisecond
 )
 
-// sample says that every write acknowledged before at lies at or before pos. It counts once pos is
+// sample means that every write acknowledged before at has a position up to pos. It is valid once pos is
 // confirmed.
 type sample struct {
 	at  time.Time
 	pos core.Position
 }
 
-// samples is a bounded list in order of time and position.
+// samples is a list of at most maxSamples, in order of time and position.
 type samples struct {
 	list []sample
 }
 
-// add appends a sample. Samples closer than sampleGap replace each other, and a full list is thinned.
+// add appends a sample. One at the same position as the last only updates the last one's time, and one
+// less than minSampleGap after the last but one replaces the last one. A full list is thinned.
 func (s *samples) add(at time.Time, pos core.Position) {
 	n := len(s.list)
 	if n > 0 && s.list[n-1].pos == pos {
 		s.list[n-1].at = at
 		return
 	}
-	if n > 1 && at.Sub(s.list[n-2].at) < sampleGap {
+	if n > 1 && at.Sub(s.list[n-2].at) < minSampleGap {
 		s.list[n-1] = sample{at: at, pos: pos}
 		return
 	}
@@ -46,8 +48,8 @@
 	s.list = append(s.list, sample{at: at, pos: pos})
 }
 
-// thin drops samples that lie close together for their age, so that a replica that is far behind
-// still gets an age, at a lower resolution. It always drops one at least.
+// thin drops samples whose gaps are short for their age, so that the list still has an age, at a lower
+// resolution, for a replica that is far behind. It drops at least one.
 func (s *samples) thin() {
 	last := s.list[len(s.list)-1].at
 	kept := s.list[:1]
@@ -65,7 +67,8 @@
 	s.list = kept
 }
 
-// dropAfter removes the samples that were never confirmed, when a new term begins.
+// dropAfter removes the samples after the confirmed position. It is called when a new term begins, since
+// these samples will never be confirmed.
 func (s *samples) dropAfter(confirmed core.Position) {
 	n := len(s.list)
 	for n > 0 && confirmed.Less(s.list[n-1].pos) {
--- a/core/quorum/tally.go
+++ b/core/quorum/tally.go
@@ -6,29 +6,29 @@
 	"snipewall/core"
 )
 
-// tally is what the last statuses of all members say together.
+// tally is the state of the group as derived from the last statuses of all members.
 type tally struct {
-	// promised is the highest term that a majority has reached or passed.
+	// promised is the highest term such that a majority has promised it or a higher one.
 	promised core.Term
-	// confirmed is the last position that a majority holds under promised, if holds is true.
-	confirmed core.Position
-	holds     bool
+	// confirmed is the last position that a majority holds under promised. It is valid if isConfirmed is
+	// set.
+	confirmed   core.Position
+	isConfirmed bool
 	// primary is the index of the primary of the term promised, or -1.
 	primary int
-	// fresh is the poll number since which a majority, the primary included, has reported the term;
-	// freshMember is the member whose poll has that number. Without such a majority fresh is 0.
-	fresh       uint64
+	// freshPoll is the number of the oldest poll in the newest majority, including the primary, that has
+	// reported the term, or 0 without such a majority. freshMember is the member of that poll.
+	freshPoll   uint64
 	freshMember int
 }
 
-// isPrimaryOf reports whether the status is that of the primary that reigns in the term. A primary
-// that has promised a higher term, or that holds no entry of the term, doesn't reign.
+// isPrimaryOf reports whether the status is that of the primary of the term. A primary that has promised
+// a higher term, or whose log has no entry of the term, doesn't count.
 func isPrimaryOf(s core.UpstreamStatus, t core.Term) bool {
 	return s.Role == core.RolePrimary && s.Promised == t && s.Log.Term == t
 }
 
-// count computes the tally of the members.
-func count(members []member, majority int) tally {
+func newTally(members []member, majority int) tally {
 	t := tally{primary: -1, freshMember: -1}
 	t.promised = majorityTerm(members, majority)
 	if t.promised == 0 {
@@ -37,7 +37,7 @@
 	offsets := make([]core.Offset, 0, 8)
 	for i := range members {
 		m := &members[i]
-		if !m.have || m.status.Promised != t.promised || m.status.Log.Term != t.promised {
+		if !m.hasStatus || m.status.Promised != t.promised || m.status.Log.Term != t.promised {
 			continue
 		}
 		offsets = append(offsets, m.status.Log.Offset)
@@ -48,18 +48,18 @@
 	if len(offsets) >= majority {
 		slices.Sort(offsets)
 		t.confirmed = core.Position{Term: t.promised, Offset: offsets[len(offsets)-majority]}
-		t.holds = true
+		t.isConfirmed = true
 	}
-	t.countFresh(members, majority)
+	t.findFresh(members, majority)
 	return t
 }
 
-// majorityTerm returns the highest term that a majority has promised or passed, 0 if too few
-// members are known.
+// majorityTerm returns the highest term such that a majority has promised it or a higher one, or 0 if the
+// status of too few members is known.
 func majorityTerm(members []member, majority int) core.Term {
 	terms := make([]core.Term, 0, 8)
 	for i := range members {
-		if members[i].have {
+		if members[i].hasStatus {
 			terms = append(terms, members[i].status.Promised)
 		}
 	}
@@ -70,14 +70,14 @@
 	return terms[len(terms)-majority]
 }
 
-// countFresh finds the oldest poll of the newest majority that includes the primary.
-func (t *tally) countFresh(members []member, majority int) {
+// findFresh sets freshPoll and freshMember.
+func (t *tally) findFresh(members []member, majority int) {
 	if t.primary < 0 {
 		return
 	}
 	byPoll := make([]int, 0, 8)
 	for i := range members {
-		if members[i].have && members[i].status.Promised == t.promised {
+		if members[i].hasStatus && members[i].status.Promised == t.promised {
 			byPoll = append(byPoll, i)
 		}
 	}
@@ -94,6 +94,6 @@
 	if members[t.primary].poll < members[oldest].poll {
 		oldest = t.primary
 	}
-	t.fresh = members[oldest].poll
+	t.freshPoll = members[oldest].poll
 	t.freshMember = oldest
 }
--- a/core/quorum/view.go
+++ b/core/quorum/view.go
@@ -6,19 +6,19 @@
 	"snipewall/core"
 )
 
-// Report is what the monitor knows of one upstream, for the failover driver.
+// Report is the monitor's state of one upstream, for the failover driver.
 type Report struct {
 	ID core.UpstreamID
-	// Status is the last status, if Known.
+	// Status is the last status. It is valid if Known is set.
 	Status core.UpstreamStatus
 	Known  bool
-	// PollAt is when the poll that brought the status started, At when its answer came.
+	// PollAt is when the poll that returned the status started, At when its answer arrived.
 	PollAt, At time.Time
-	// SilentSince is when the last answer of any kind came, even a refusal at the connection limit, or
-	// one PollInterval before the first poll that has no answer, if that is later. It is zero while
-	// the upstream answers.
+	// SilentSince is zero while the upstream answers. Otherwise it is when the last answer of any kind
+	// arrived, including a refusal at the connection limit, or one PollInterval before the first
+	// unanswered poll, whichever is later.
 	SilentSince time.Time
-	// RefusedSince is when the current run of refused connections began, or zero.
+	// RefusedSince is when the upstream began to refuse connections, or zero.
 	RefusedSince time.Time
 	// Err is the error of the last poll, or nil.
 	Err error
@@ -28,7 +28,7 @@
 func (m *Monitor) Primary() (core.UpstreamID, core.Term, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.touchLocked(time.Now())
+	m.markUsedLocked(time.Now())
 	return m.primaryLocked()
 }
 
@@ -40,7 +40,7 @@
 	recent := 0
 	for i := range m.members {
 		mb := &m.members[i]
-		if mb.have && mb.status.Promised == m.tally.promised && now.Sub(mb.gotAt) <= m.cfg.StatusLife {
+		if mb.hasStatus && mb.status.Promised == m.tally.promised && now.Sub(mb.receivedAt) <= m.cfg.StatusTTL {
 			recent++
 		} else if i == m.tally.primary {
 			return "", 0, false
@@ -52,7 +52,7 @@
 	return m.members[m.tally.primary].id, m.tally.promised, true
 }
 
-// Status implements core.GroupView. The age is the time since the answer came.
+// Status implements core.GroupView. The age is the time since the answer arrived.
 func (m *Monitor) Status(id core.UpstreamID) (core.UpstreamStatus, time.Duration, bool) {
 	i, ok := m.index[id]
 	if !ok {
@@ -61,7 +61,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	mb := &m.members[i]
-	return mb.status, time.Since(mb.gotAt), mb.have
+	return mb.status, time.Since(mb.receivedAt), mb.hasStatus
 }
 
 // Age implements core.GroupView.
@@ -73,7 +73,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	m.touchLocked(now)
+	m.markUsedLocked(now)
 	at, ok := m.samples.newest(m.members[i].status.Applied, m.confirmed)
 	if !ok {
 		return 0, false
@@ -88,19 +88,19 @@
 		return
 	}
 	m.mu.Lock()
-	m.members[i].urgent = true
+	m.members[i].pollNow = true
 	m.mu.Unlock()
 	m.wake()
 }
 
-// Confirmed returns the highest position known to be held by a majority under its own term.
+// Confirmed returns the highest position that a majority is known to have held under its own term.
 func (m *Monitor) Confirmed() core.Position {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.confirmed
 }
 
-// Reports returns one report per upstream in the order of the configuration.
+// Reports returns one report per upstream, in the order of Config.Upstreams.
 func (m *Monitor) Reports() []Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -108,29 +108,30 @@
 	for i := range m.members {
 		mb := &m.members[i]
 		reports[i] = Report{
-			ID: mb.id, Status: mb.status, Known: mb.have, PollAt: mb.pollAt, At: mb.gotAt,
-			SilentSince: m.silentLocked(mb), RefusedSince: mb.refusedSince, Err: mb.err,
+			ID: mb.id, Status: mb.status, Known: mb.hasStatus, PollAt: mb.pollAt, At: mb.receivedAt,
+			SilentSince: m.silentSinceLocked(mb), RefusedSince: mb.refusedSince, Err: mb.err,
 		}
 	}
 	return reports
 }
 
-// silentLocked doesn't count the time in which a quiet group sent no polls.
-func (m *Monitor) silentLocked(mb *member) time.Time {
-	if mb.unansweredAt.IsZero() || !mb.have {
-		return mb.unansweredAt
+// silentSinceLocked returns Report.SilentSince. The time in which a quiet group wasn't polled doesn't
+// count.
+func (m *Monitor) silentSinceLocked(mb *member) time.Time {
+	if mb.unansweredSince.IsZero() || !mb.hasStatus {
+		return mb.unansweredSince
 	}
-	if due := mb.unansweredAt.Add(-m.cfg.PollInterval); due.After(mb.contactAt) {
+	if due := mb.unansweredSince.Add(-m.cfg.PollInterval); due.After(mb.answeredAt) {
 		return due
 	}
-	return mb.contactAt
+	return mb.answeredAt
 }
 
-// Changed delivers a value after a failed poll and after a status whose role, term or leaving mark
-// differs from the one before. It is meant for one reader.
+// Changed returns a channel that delivers a value after a failed poll and after a status with another
+// role, term or leaving mark than the one before. It supports one reader.
 func (m *Monitor) Changed() <-chan struct{} { return m.changed }
 
-// State is the dump of a Monitor.
+// State is the result of Monitor.Dump.
 type State struct {
 	Group     core.GroupID
 	Primary   core.UpstreamID
@@ -141,7 +142,7 @@
 	Upstreams []UpstreamState
 }
 
-// UpstreamState is the part of State about one upstream. Durations are in milliseconds.
+// UpstreamState is the state of one upstream in State. Ages are in milliseconds, -1 if unknown.
 type UpstreamState struct {
 	ID        core.UpstreamID
 	Role      string
@@ -154,7 +155,7 @@
 	Error     string `json:",omitempty"`
 }
 
-// Dump implements core.Dumper. An unknown age is -1.
+// Dump implements core.Dumper. It returns a State.
 func (m *Monitor) Dump() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -175,8 +176,8 @@
 		Log: mb.status.Log.String(), Applied: mb.status.Applied.String(),
 		Leaving: mb.status.Leaving, StatusAge: -1, DataAge: -1,
 	}
-	if mb.have {
-		u.StatusAge = time.Since(mb.gotAt).Milliseconds()
+	if mb.hasStatus {
+		u.StatusAge = time.Since(mb.receivedAt).Milliseconds()
 	}
 	if at, ok := m.samples.newest(mb.status.Applied, m.confirmed); ok {
 		u.DataAge = time.Since(at).Milliseconds()
--- a/core/quorum/waiter.go
+++ b/core/quorum/waiter.go
@@ -10,7 +10,7 @@
 	"snipewall/core"
 )
 
-// errStopped is the end of a wait whose monitor has stopped.
+// errStopped is returned by waiting calls when the monitor has stopped.
 var errStopped = errors.New("monitor stopped")
 
 type waitKind uint8
@@ -21,25 +21,26 @@
 	waitApplied
 )
 
-// waiter is one caller that waits for polls.
+// waiter is a call that waits for the results of polls.
 type waiter struct {
 	kind waitKind
-	// pos is the awaited position. A read index fills it in once the primary's tail is known.
+	// pos is the position that the call waits for. For a read index it is set once the end of the
+	// primary's log is known.
 	pos core.Position
-	// poll is the number of the last poll that had started when the call arrived.
+	// poll is the number of polls that had started before the call.
 	poll  uint64
 	start time.Time
 	done  chan error
 }
 
-// waitList holds waiters in order of arrival and the usual duration of their waits.
+// waitList holds waiters in order of arrival.
 type waitList struct {
 	list []*waiter
-	// usual is a moving average of the time that completed waits took.
-	usual time.Duration
+	// averageWait is the moving average of the duration of successful waits.
+	averageWait time.Duration
 }
 
-// settle ends the waits for which check reports an end.
+// settle ends the waits for which check returns true, with the error that it returns.
 func (l *waitList) settle(now time.Time, check func(*waiter) (bool, error)) {
 	kept := l.list[:0]
 	for _, w := range l.list {
@@ -49,7 +50,7 @@
 			continue
 		}
 		if err == nil {
-			l.usual += (now.Sub(w.start) - l.usual) / 8
+			l.averageWait += (now.Sub(w.start) - l.averageWait) / 8
 		}
 		w.done <- err
 	}
@@ -63,19 +64,19 @@
 	}
 }
 
-// gap returns the time between polls that the waits ask for, or false if nobody waits. The newest
-// waiter decides, so that one that waits in vain doesn't slow down the others.
-func (l *waitList) gap(now time.Time, shortest, longest time.Duration) (time.Duration, bool) {
+// pollInterval returns the time between polls that the waiters need, or false without waiters. It
+// depends on the newest waiter, so that one that waits for a long time doesn't slow down the others.
+func (l *waitList) pollInterval(now time.Time, shortest, longest time.Duration) (time.Duration, bool) {
 	n := len(l.list)
 	if n == 0 {
 		return 0, false
 	}
-	wait := max(l.usual, now.Sub(l.list[n-1].start))
+	wait := max(l.averageWait, now.Sub(l.list[n-1].start))
 	return min(max(wait/8, shortest), longest), true
 }
 
-// Confirm implements core.GroupView. It returns *core.UnknownOutcomeError if a majority has promised
-// a term above that of p, and otherwise wraps the error of ctx.
+// Confirm implements core.GroupView. Its error wraps *core.UnknownOutcomeError if a majority has promised
+// a term above that of p, and the error of ctx if that has ended.
 func (m *Monitor) Confirm(ctx context.Context, p core.Position) error {
 	w := &waiter{kind: waitConfirm, pos: p}
 	if err := m.wait(ctx, &m.waits, w); err != nil {
@@ -106,7 +107,8 @@
 	return nil
 }
 
-// wait adds the waiter to the list, unless it can be settled at once, and blocks until it ends.
+// wait adds the waiter to the list and blocks until a poll satisfies it or ctx ends. It returns at once
+// if the last statuses satisfy it already.
 func (m *Monitor) wait(ctx context.Context, l *waitList, w *waiter) error {
 	w.done = make(chan error, 1)
 	m.mu.Lock()
@@ -116,7 +118,7 @@
 	}
 	w.poll = m.polls
 	w.start = time.Now()
-	m.touchLocked(w.start)
+	m.markUsedLocked(w.start)
 	l.list = append(l.list, w)
 	m.settleLocked(w.start)
 	m.mu.Unlock()
@@ -132,7 +134,7 @@
 	}
 }
 
-// settleLocked ends the waits that the last statuses answer.
+// settleLocked ends the waits that the last statuses satisfy.
 func (m *Monitor) settleLocked(now time.Time) {
 	m.waits.settle(now, m.checkLocked)
 	for i := range m.members {
@@ -156,14 +158,14 @@
 	return false, nil
 }
 
-// checkIndexLocked takes the primary's tail from the first polls that started after the call, then
-// waits until that tail is confirmed. A new term starts over.
+// checkIndexLocked sets w.pos to the end of the primary's log once a majority of polls that started after
+// the call shows the primary, and reports whether that position is confirmed. A new term starts over.
 func (m *Monitor) checkIndexLocked(w *waiter) bool {
 	if w.pos.Term < m.tally.promised {
 		w.pos = core.Position{}
 	}
 	if w.pos.IsZero() {
-		if m.tally.primary < 0 || m.tally.fresh <= w.poll {
+		if m.tally.primary < 0 || m.tally.freshPoll <= w.poll {
 			return false
 		}
 		w.pos = m.members[m.tally.primary].status.Log
@@ -171,8 +173,8 @@
 	return m.confirmedLocked(w.pos)
 }
 
-// confirmedLocked reports whether a majority has held p under p's own term. The place before the first
-// entry always counts.
+// confirmedLocked reports whether a majority has held p under p's own term. The zero position is always
+// confirmed.
 func (m *Monitor) confirmedLocked(p core.Position) bool {
 	return p.IsZero() || p.Term == m.confirmed.Term && p.Offset <= m.confirmed.Offset
 }
