--- a/core/mirror/mirror.go
+++ b/core/mirror/mirror.go
@@ -1,10 +1,10 @@
-// Package mirror spreads the store's changes between entry VMs, so that the calls to the store don't
-// grow with the VMs.
+// Package mirror shares watches of the store between entry VMs, so that the number of calls to the store
+// doesn't grow with the number of VMs.
 //
-// Two VMs in each failure domain watch the store itself. A Mirror keeps the changes that such a VM has
-// seen, and the other VMs of the domain watch the mirror instead. Both use the store's versions, so
-// that a VM may continue any watch at the store, and does when no mirror answers or the mirrors have
-// lost the store.
+// Two VMs in each failure domain, the watchers, watch the store itself. Their Mirrors keep the latest
+// changes, and the other VMs of the domain watch one of these mirrors instead of the store. Mirrors and
+// the store use the same versions, so that a VM can continue any watch at the store. It does so when no
+// mirror answers, or when the mirror has lost the store.
 //
 // # Usage
 //
@@ -25,24 +25,24 @@
 )
 
 const (
-	// watchers is the number of VMs in each failure domain that watch the store itself, so that the
-	// loss of one goes unnoticed.
+	// watchers is the number of VMs in each failure domain that watch the store itself. With two, the
+	// failure of one has no effect.
 	watchers = 2
-	// keptEvents is the number of changes that are kept for other VMs. One that is further behind lists
-	// the entries anew.
-	keptEvents = 1024
-	// staleAfter is the time without an answer of the store after which a mirror isn't used: a watch
-	// takes 4 s at most.
+	// maxEvents is the number of changes that are kept for other VMs. A VM that is further behind must
+	// list the entries again.
+	maxEvents = 1024
+	// staleAfter is the time without an answer from the store after which a mirror isn't used. A watch
+	// takes up to 4 s.
 	staleAfter = 5 * time.Second
-	// callSlack is what a call to a mirror may take beyond its waiting time.
-	callSlack = 300 * time.Millisecond
-	// passOver is how long a mirror that didn't answer isn't asked again.
-	passOver = 10 * time.Second
-	// method is the name of the call.
-	method = "Mirror.Watch"
+	// callMargin is the part of a call's timeout that exceeds the wait time of the watch.
+	callMargin = 300 * time.Millisecond
+	// mirrorRetryDelay is how long a mirror that failed to answer isn't called again.
+	mirrorRetryDelay = 10 * time.Second
+	// watchMethod is the name of the RPC method.
+	watchMethod = "Mirror.Watch"
 )
 
-// errNotCurrent says that the mirror doesn't see the store's changes now.
+// errNotCurrent is the answer of a mirror that isn't receiving the store's changes at present.
 var errNotCurrent = errors.New("mirror has no current view of the store")
 
 // Config configures a Mirror.
@@ -54,35 +54,35 @@
 	Call func(ctx context.Context, address, method string, req, answer any) error
 }
 
-// Members are the live entry VMs.
+// Members provides the live entry VMs.
 type Members interface {
 	Alive() []core.VM
 }
 
-// Mirror is a store whose watches are shared. It is safe for concurrent use.
+// Mirror is a core.PrefixStore with shared watches. It is safe for concurrent use.
 type Mirror struct {
 	cfg Config
 
-	mu   sync.Mutex
-	logs map[string]*changes
-	// failed is when a VM's mirror last gave no answer.
-	failed map[core.VMID]time.Time
+	mu      sync.Mutex
+	changes map[string]*changes
+	// failedAt is when a VM's mirror last failed to answer.
+	failedAt map[core.VMID]time.Time
 }
 
-// changes are what this VM has seen of the keys with one prefix.
+// changes holds the latest changes of the keys with one prefix.
 type changes struct {
 	events []core.Event
-	// floor and at are the versions that the events lie between.
-	floor, at core.Version
-	// answered is when the store last answered, zero after an error.
-	answered time.Time
-	// news is closed at the next change.
-	news chan struct{}
+	// events are complete for the versions above minVersion and up to maxVersion.
+	minVersion, maxVersion core.Version
+	// answeredAt is when the store last answered, or zero after an error.
+	answeredAt time.Time
+	// changed is closed after the next answer or error of the store.
+	changed chan struct{}
 }
 
-// New returns a mirror.
+// New returns a mirror without any changes.
 func New(cfg Config) *Mirror {
-	return &Mirror{cfg: cfg, logs: make(map[string]*changes), failed: make(map[core.VMID]time.Time)}
+	return &Mirror{cfg: cfg, changes: make(map[string]*changes), failedAt: make(map[core.VMID]time.Time)}
 }
 
 // List implements core.PrefixStore.
@@ -95,17 +95,17 @@
 	return m.cfg.Store.ListStale(ctx, prefix)
 }
 
-// WatchPrefix implements core.PrefixStore: at the store if this VM is one of the watchers, otherwise at
-// a watcher. Only one is asked before the store, so that a change is never hidden for longer than one
-// watch takes.
+// WatchPrefix implements core.PrefixStore. It watches the store if this VM is a watcher, and otherwise the
+// mirror of a watcher. If that fails, it watches the store without trying another mirror, so that a
+// change is delayed by one watch at most.
 func (m *Mirror) WatchPrefix(ctx context.Context, prefix string, after core.Version, wait time.Duration) ([]core.Event, core.Version, error) {
 	if vm, ok := m.watcher(); ok {
-		events, at, err := m.ask(ctx, vm, prefix, after, wait)
+		events, at, err := m.watchMirror(ctx, vm, prefix, after, wait)
 		if err == nil || errors.Is(err, core.ErrCompacted) || ctx.Err() != nil {
 			return events, at, err
 		}
 		m.mu.Lock()
-		m.failed[vm.ID] = time.Now()
+		m.failedAt[vm.ID] = time.Now()
 		m.mu.Unlock()
 	}
 	events, at, err := m.cfg.Store.WatchPrefix(ctx, prefix, after, wait)
@@ -113,7 +113,7 @@
 	return events, at, err
 }
 
-// watcher returns the VM whose mirror this one watches, or false if it watches the store itself.
+// watcher returns the VM whose mirror this VM must watch, or false if it must watch the store itself.
 func (m *Mirror) watcher() (core.VM, bool) {
 	domain := m.cfg.Self.FailureDomain
 	alive := slices.DeleteFunc(m.cfg.Members.Alive(), func(vm core.VM) bool { return vm.FailureDomain != domain })
@@ -124,32 +124,32 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, vm := range chosen {
-		if at, ok := m.failed[vm.ID]; vm.Control != "" && (!ok || time.Since(at) >= passOver) {
+		if at, ok := m.failedAt[vm.ID]; vm.Control != "" && (!ok || time.Since(at) >= mirrorRetryDelay) {
 			return vm, true
 		}
 	}
 	return core.VM{}, false
 }
 
-// WatchRequest is a watch of one VM at another one's mirror.
+// WatchRequest asks another VM's mirror for the changes after a version.
 type WatchRequest struct {
 	Prefix string
 	After  core.Version
 	Wait   time.Duration
 }
 
-// WatchAnswer holds the changes, or says that the mirror no longer has them.
+// WatchAnswer holds the changes. Compacted is set if the mirror no longer has all of them.
 type WatchAnswer struct {
 	Events    []core.Event
 	At        core.Version
 	Compacted bool
 }
 
-func (m *Mirror) ask(ctx context.Context, vm core.VM, prefix string, after core.Version, wait time.Duration) ([]core.Event, core.Version, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+callSlack)
+func (m *Mirror) watchMirror(ctx context.Context, vm core.VM, prefix string, after core.Version, wait time.Duration) ([]core.Event, core.Version, error) {
+	ctx, cancel := context.WithTimeout(ctx, wait+callMargin)
 	defer cancel()
 	var out WatchAnswer
-	if err := m.cfg.Call(ctx, vm.Control, method, &WatchRequest{Prefix: prefix, After: after, Wait: wait}, &out); err != nil {
+	if err := m.cfg.Call(ctx, vm.Control, watchMethod, &WatchRequest{Prefix: prefix, After: after, Wait: wait}, &out); err != nil {
 		return nil, 0, err
 	}
 	if out.Compacted {
@@ -158,80 +158,80 @@
 	return out.Events, out.At, nil
 }
 
-// record keeps what the store answered for other VMs.
+// record keeps the result of a watch at the store for other VMs.
 func (m *Mirror) record(prefix string, after core.Version, events []core.Event, at core.Version, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c, ok := m.logs[prefix]
+	c, ok := m.changes[prefix]
 	if !ok {
-		c = &changes{news: make(chan struct{}), floor: after, at: after}
-		m.logs[prefix] = c
+		c = &changes{changed: make(chan struct{}), minVersion: after, maxVersion: after}
+		m.changes[prefix] = c
 	}
-	close(c.news)
-	c.news = make(chan struct{})
+	close(c.changed)
+	c.changed = make(chan struct{})
 	if err != nil {
-		c.answered = time.Time{}
+		c.answeredAt = time.Time{}
 		return
 	}
-	c.answered = time.Now()
-	if after != c.at {
-		// This VM listed the entries meanwhile: what lies between isn't known as changes.
-		c.events, c.floor = nil, after
+	c.answeredAt = time.Now()
+	if after != c.maxVersion {
+		// This VM has listed the entries since: the changes in between are unknown.
+		c.events, c.minVersion = nil, after
 	}
 	c.events = append(c.events, events...)
-	c.at = max(at, after)
-	if n := len(c.events) - keptEvents; n > 0 {
-		c.floor = c.events[n-1].Version
+	c.maxVersion = max(at, after)
+	if n := len(c.events) - maxEvents; n > 0 {
+		c.minVersion = c.events[n-1].Version
 		c.events = slices.Clone(c.events[n:])
 	}
 }
 
-// serve answers a watch of another VM.
-func (m *Mirror) serve(prefix string, after core.Version, wait time.Duration) (WatchAnswer, error) {
+// serveWatch waits for changes after the version, at most for the given time.
+func (m *Mirror) serveWatch(prefix string, after core.Version, wait time.Duration) (WatchAnswer, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		out, news, err := m.since(prefix, after)
+		out, changed, err := m.changesAfter(prefix, after)
 		if err != nil || out.Compacted || len(out.Events) > 0 {
 			return out, err
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-timer.C:
 			return out, nil
 		}
 	}
 }
 
-// since returns the changes after the version, and a channel that is closed at the next one.
-func (m *Mirror) since(prefix string, after core.Version) (WatchAnswer, <-chan struct{}, error) {
+// changesAfter returns the changes after the version, and a channel that is closed when there may be more.
+func (m *Mirror) changesAfter(prefix string, after core.Version) (WatchAnswer, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c, ok := m.logs[prefix]
-	if !ok || time.Since(c.answered) > staleAfter {
+	c, ok := m.changes[prefix]
+	if !ok || time.Since(c.answeredAt) > staleAfter {
 		return WatchAnswer{}, nil, errNotCurrent
 	}
-	if after < c.floor {
+	if after < c.minVersion {
 		return WatchAnswer{Compacted: true}, nil, nil
 	}
-	out := WatchAnswer{At: max(after, c.at)}
+	out := WatchAnswer{At: max(after, c.maxVersion)}
 	for _, e := range c.events {
 		if e.Version > after {
 			out.Events = append(out.Events, e)
 		}
 	}
-	return out, c.news, nil
+	return out, c.changed, nil
 }
 
-// Service is the mirror's side of the control calls.
+// Service serves watches of other VMs over RPC.
 type Service struct{ m *Mirror }
 
-// Service returns the service to register as "Mirror".
+// Service returns the RPC service, which must be registered as "Mirror".
 func (m *Mirror) Service() *Service { return &Service{m} }
 
-// Watch answers a watch of another VM.
+// Watch returns the changes that req asks for. It waits for one, at most for staleAfter.
 func (s *Service) Watch(req *WatchRequest, out *WatchAnswer) error {
-	answer, err := s.m.serve(req.Prefix, req.After, min(req.Wait, staleAfter))
+	answer, err := s.m.serveWatch(req.Prefix, req.After, min(req.Wait, staleAfter))
 	*out = answer
 	return err
 }
--- a/core/mirror/mirror_test.go
+++ b/core/mirror/mirror_test.go
@@ -13,15 +13,15 @@
 	"snipewall/core"
 )
 
-// fakeStore is a store with one key that changes.
+// fakeStore is a store with one key, whose version change increments.
 type fakeStore struct {
 	mu      sync.Mutex
 	version core.Version
-	news    chan struct{}
+	changed chan struct{}
 	down    bool
-	// deaf watches hear nothing and end with an error.
-	deaf  bool
-	calls int
+	// hanging makes watches miss all changes and end with an error.
+	hanging bool
+	calls   int
 }
 
 var errDown = errors.New("store is down")
@@ -30,16 +30,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func (s *fakeStore) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func (s *fakeStore) List(context.Context, string) ([]core.Entry, core.Version, error) {
@@ -58,9 +58,9 @@
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		version, news, down, deaf := s.version, s.news, s.down, s.deaf
+		version, changed, down, hanging := s.version, s.changed, s.down, s.hanging
 		s.mu.Unlock()
-		if deaf {
+		if hanging {
 			<-timer.C
 			return nil, 0, errDown
 		}
@@ -75,7 +75,7 @@
 			return events, version, nil
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-timer.C:
 			return nil, after, nil
 		case <-ctx.Done():
@@ -84,12 +84,12 @@
 	}
 }
 
-// fleet is a number of VMs in one failure domain.
+// fleet is a set of VMs in one failure domain.
 type fleet struct {
 	store   *fakeStore
 	vms     []core.VM
 	mirrors map[string]*Mirror
-	// cut are VMs that don't answer calls.
+	// cut holds the addresses of VMs that don't answer calls.
 	cut sync.Map
 }
 
@@ -104,7 +104,7 @@
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{store: &fakeStore{version: 5, news: make(chan struct{})}, mirrors: map[string]*Mirror{}}
+	f := &fleet{store: &fakeStore{version: 5, changed: make(chan struct{})}, mirrors: map[string]*Mirror{}}
 	for i := range n {
 		name := string(rune('a' + i))
 		f.vms = append(f.vms, core.VM{ID: core.VMID(name), FailureDomain: "here", Control: name})
@@ -115,8 +115,8 @@
 	return f
 }
 
-// follow watches on all VMs and reports each version that a VM learns of.
-func (f *fleet) follow(t *testing.T) *sync.Map {
+// watchAll runs a watch on each VM and returns the last version that each VM has seen.
+func (f *fleet) watchAll(t *testing.T) *sync.Map {
 	t.Helper()
 	known := &sync.Map{}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -142,7 +142,7 @@
 	return known
 }
 
-func (f *fleet) behind(known *sync.Map, want core.Version) int {
+func (f *fleet) countBehind(known *sync.Map, want core.Version) int {
 	n := 0
 	for name := range f.mirrors {
 		if v, ok := known.Load(name); !ok || v.(core.Version) < want {
@@ -152,19 +152,19 @@
 	return n
 }
 
-// Guards against calls to the store that grow with the VMs, and against changes that don't reach all
-// of them at once.
+// Guards against a number of calls to the store that grows with the number of VMs, and against changes
+// that reach some VMs late.
 func TestSharedWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(12)
-		known := f.follow(t)
+		known := f.watchAll(t)
 		time.Sleep(10 * time.Second)
 		f.store.mu.Lock()
 		f.store.calls = 0
 		f.store.mu.Unlock()
 		f.store.change()
 		time.Sleep(100 * time.Millisecond)
-		assert.Equal(t, f.behind(known, 6), 0)
+		assert.Equal(t, f.countBehind(known, 6), 0)
 		time.Sleep(40 * time.Second)
 		f.store.mu.Lock()
 		defer f.store.mu.Unlock()
@@ -172,55 +172,55 @@
 	})
 }
 
-// Guards against VMs that hear nothing while the watchers don't answer: a change must be known in less
-// than 5 s.
-func TestWatchersCutOff(t *testing.T) {
+// Guards against VMs that miss changes while the watchers don't answer: a change must reach them within
+// 5 s.
+func TestWatchersUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(6)
-		known := f.follow(t)
+		known := f.watchAll(t)
 		time.Sleep(10 * time.Second)
 		for _, vm := range f.vms {
-			if _, asks := f.mirrors[vm.Control].watcher(); !asks {
+			if _, watchesMirror := f.mirrors[vm.Control].watcher(); !watchesMirror {
 				f.cut.Store(vm.Control, true)
 			}
 		}
 		f.store.change()
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, f.behind(known, 6), 0)
+		assert.Equal(t, f.countBehind(known, 6), 0)
 	})
 }
 
-// Guards against mirrors that lost the store and keep other VMs waiting that could reach it.
+// Guards against mirrors that have lost the store and make other VMs wait that could reach it.
 func TestMirrorLosesStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(6)
-		known := f.follow(t)
+		known := f.watchAll(t)
 		time.Sleep(10 * time.Second)
 		f.store.setDown(true)
 		time.Sleep(20 * time.Second)
 		f.store.setDown(false)
 		f.store.change()
 		time.Sleep(time.Second)
-		assert.Equal(t, f.behind(known, 6), 0)
+		assert.Equal(t, f.countBehind(known, 6), 0)
 	})
 }
 
-// Guards against a VM that waits for mirrors after its own watch was deaf: gbpc-shore, mix of seed
-// 708953836717, where a VM that called the failing store only once in 2 s lacked a configuration 6.2 s after
-// its acknowledgement. A mirror sees changes again only with its next watch.
-func TestDeafWatches(t *testing.T) {
+// Guards against a VM that waits for a mirror after its own watch at the store has failed. The mirror gets
+// changes again only with its next watch: a VM that called the failing store only once in 2 s lacked a
+// configuration 6.2 s after its acknowledgement.
+func TestStoreWatchAfterFailedMirror(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(6)
 		var m *Mirror
 		for _, vm := range f.vms {
-			if _, asks := f.mirrors[vm.Control].watcher(); asks {
+			if _, watchesMirror := f.mirrors[vm.Control].watcher(); watchesMirror {
 				m = f.mirrors[vm.Control]
 			}
 		}
-		f.store.deaf = true
+		f.store.hanging = true
 		_, _, err := m.WatchPrefix(t.Context(), "p", 5, 4*time.Second)
 		assert.Assert(t, err != nil)
-		f.store.deaf = false
+		f.store.hanging = false
 		f.store.change()
 		events, _, err := m.WatchPrefix(t.Context(), "p", 5, 4*time.Second)
 		assert.NilError(t, err)
