--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -1,9 +1,10 @@
-// Package roster keeps the list of live entry VMs in the platform's store.
+// Package roster maintains the list of live entry VMs in the platform's store.
 //
-// Each entry VM writes an entry under a lease, renews the lease and lists the entries now and then: a
-// watch would return to each VM for each other one that starts or stops. An entry that disappears is kept for a grace time, since leases also end
-// while the store is unwell; an entry VM that stops says so in its entry first. The list only
-// distributes work: two entry VMs that disagree about it are both right.
+// Each entry VM writes an entry under a lease, renews the lease and lists the entries periodically. A
+// watch would cost more calls, since it would return on each VM whenever any other VM starts or stops.
+// A VM whose entry disappears stays in the list for a grace period, since leases also expire during
+// failures of the store. An entry VM that stops first marks its entry as leaving. The list is used only
+// to distribute work, so that nothing breaks if the lists of two entry VMs differ.
 //
 // # Usage
 //
@@ -28,28 +29,27 @@
 	"snipewall/core"
 )
 
-// Prefix starts the keys of the entries.
+// Prefix is the prefix of the entries' keys; the VM's id follows.
 const Prefix = "snipewall/vms/"
 
 const (
-	// leaseTime is how long an entry outlives its VM, and renewEvery how often the lease is renewed.
-	// Each call is charged, and a VM that is gone is passed over long before its lease ends.
-	leaseTime  = 30 * time.Second
-	renewEvery = 10 * time.Second
-	// listEvery is the time between listings, and listFirst the one after the start, from which it
-	// doubles: VMs often start together.
-	listEvery = 5 * time.Second
-	listFirst = 500 * time.Millisecond
-	// callTime limits one listing.
-	callTime = 2 * time.Second
-	// retryEvery is the time between attempts to write the entry.
-	retryEvery = time.Second
-	// missingGrace is how long a VM counts after its entry disappeared: it finds that out with its next
-	// listing, and the others with theirs.
-	missingGrace = 2*listEvery + 2*time.Second
+	// leaseTTL is how long an entry remains after its VM has failed. It and renewInterval are long because
+	// calls to the store are charged, and other VMs stop using a failed VM long before its lease ends.
+	leaseTTL      = 30 * time.Second
+	renewInterval = 10 * time.Second
+	// The time between listings starts at firstListInterval and doubles up to listInterval, since VMs
+	// often start at the same time.
+	listInterval      = 5 * time.Second
+	firstListInterval = 500 * time.Millisecond
+	listTimeout       = 2 * time.Second
+	// retryInterval is the time until the next attempt after a failed call.
+	retryInterval = time.Second
+	// missingGracePeriod is how long a VM stays in the list after its entry disappeared. The VM writes
+	// it again after its own next listing, and the others see that with theirs.
+	missingGracePeriod = 2*listInterval + 2*time.Second
 )
 
-// Store is what a Roster needs of the platform's store.
+// Store is the part of the platform's store that a Roster uses.
 type Store interface {
 	core.Store
 	ListStale(ctx context.Context, prefix string) ([]core.Entry, error)
@@ -63,7 +63,8 @@
 	Log   log.Logger
 }
 
-// Roster is the service "roster". It is safe for concurrent use.
+// Roster maintains this VM's entry and the list of live entry VMs. It implements core.Service and is safe
+// for concurrent use.
 type Roster struct {
 	cfg  Config
 	wake chan struct{}
@@ -73,17 +74,17 @@
 	leaving bool
 	changed chan struct{}
 	lease   core.LeaseID
-	// written tells that the entry says what it should, since writtenAt.
+	// written is set if the entry in the store is up to date, and writtenAt is when it was written.
 	written   bool
 	writtenAt time.Time
 }
 
 type member struct {
-	vm      core.VM
-	missing time.Time
+	vm           core.VM
+	missingSince time.Time
 }
 
-// New returns a roster that knows only this entry VM.
+// New returns a roster that lists only this entry VM until Run is called.
 func New(cfg Config) *Roster {
 	return &Roster{
 		cfg: cfg, wake: make(chan struct{}, 1), changed: make(chan struct{}),
@@ -94,13 +95,13 @@
 // Name implements core.Service.
 func (r *Roster) Name() string { return "roster" }
 
-// Alive returns the entry VMs, sorted by id, this one included.
+// Alive returns the live entry VMs, including this one, sorted by id.
 func (r *Roster) Alive() []core.VM {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make([]core.VM, 0, len(r.vms))
 	for _, m := range r.vms {
-		if m.missing.IsZero() || time.Since(m.missing) < missingGrace {
+		if m.missingSince.IsZero() || time.Since(m.missingSince) < missingGracePeriod {
 			out = append(out, m.vm)
 		}
 	}
@@ -108,16 +109,16 @@
 	return out
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change of the list.
 func (r *Roster) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-// list reads the entries. This VM's own entry is written again if it is gone.
+// list reads the entries and updates the list.
 func (r *Roster) list(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	entries, err := r.cfg.Store.ListStale(ctx, Prefix)
 	if err != nil {
@@ -127,21 +128,21 @@
 	for _, e := range entries {
 		var vm core.VM
 		if err := json.Unmarshal(e.Value, &vm); err != nil || Prefix+string(vm.ID) != e.Key {
-			level.Warn(r.cfg.Log).Log("Msg", "entry of a VM can't be read", "Key", e.Key, "Err", err)
+			level.Warn(r.cfg.Log).Log("Msg", "invalid entry of a VM ignored", "Key", e.Key, "Err", err)
 			continue
 		}
 		listed[vm.ID] = vm
 	}
-	r.take(listed)
+	r.update(listed)
 	return nil
 }
 
-// take replaces the list of VMs.
-func (r *Roster) take(listed map[core.VMID]core.VM) {
+// update updates the list from a listing. If this VM's own entry is missing, it will be written again.
+func (r *Roster) update(listed map[core.VMID]core.VM) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	self := r.cfg.Self.ID
-	if _, ok := listed[self]; !ok && r.written && time.Since(r.writtenAt) > listEvery {
+	if _, ok := listed[self]; !ok && r.written && time.Since(r.writtenAt) > listInterval {
 		r.written = false
 	}
 	changed := false
@@ -162,22 +163,22 @@
 	}
 }
 
-// markMissing starts the grace of a VM whose entry is gone, or drops it once that is over. It reports
-// whether the list changed.
+// markMissing handles a VM whose entry is missing. It removes a VM that was leaving or whose grace period
+// is over, and starts the grace period of others. It reports whether it removed the VM.
 func markMissing(m map[core.VMID]member, id core.VMID) bool {
 	v := m[id]
 	switch {
-	case v.vm.Leaving, !v.missing.IsZero() && time.Since(v.missing) >= missingGrace:
+	case v.vm.Leaving, !v.missingSince.IsZero() && time.Since(v.missingSince) >= missingGracePeriod:
 		delete(m, id)
 		return true
-	case v.missing.IsZero():
-		v.missing = time.Now()
+	case v.missingSince.IsZero():
+		v.missingSince = time.Now()
 		m[id] = v
 	}
 	return false
 }
 
-// Leave tells the others that this VM stops.
+// Leave marks this VM's entry as leaving. Run writes the entry.
 func (r *Roster) Leave() {
 	r.mu.Lock()
 	r.leaving, r.written = true, false
@@ -192,38 +193,38 @@
 	}
 }
 
-// Run keeps this VM's entry and the list until ctx ends.
+// Run maintains this VM's entry and the list until ctx ends. It returns nil.
 func (r *Roster) Run(ctx context.Context) error {
-	lost := false
+	failing := false
 	var renewAt, listAt time.Time
-	pause := listFirst
+	interval := firstListInterval
 	for ctx.Err() == nil {
 		now := time.Now()
 		var err error
 		if !now.Before(renewAt) || !r.isWritten() {
-			err = r.keep(ctx)
-			renewAt = now.Add(renewEvery)
+			err = r.refreshEntry(ctx)
+			renewAt = now.Add(renewInterval)
 		}
 		if !now.Before(listAt) && err == nil {
 			err = r.list(ctx)
-			listAt = now.Add(pause)
-			pause = min(2*pause, listEvery)
+			listAt = now.Add(interval)
+			interval = min(2*interval, listInterval)
 		}
-		if (err != nil) != lost && ctx.Err() == nil {
-			lost = err != nil
-			level.Info(r.cfg.Log).Log("Msg", "list of VMs", "Kept", !lost, "Err", err)
+		if (err != nil) != failing && ctx.Err() == nil {
+			failing = err != nil
+			level.Info(r.cfg.Log).Log("Msg", "list of VMs", "Kept", !failing, "Err", err)
 		}
 		next := listAt
 		if err != nil {
-			next = now.Add(retryEvery)
+			next = now.Add(retryInterval)
 			renewAt, listAt = next, next
 		}
-		r.sleep(ctx, time.Until(next)+rand.N(retryEvery/10))
+		r.sleep(ctx, time.Until(next)+rand.N(retryInterval/10))
 	}
 	return nil
 }
 
-// sleep waits, at most until Leave is called.
+// sleep waits for d, or until Leave is called or ctx ends.
 func (r *Roster) sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -240,8 +241,8 @@
 	return r.written
 }
 
-// keep writes the entry, or renews its lease if it is written.
-func (r *Roster) keep(ctx context.Context) error {
+// refreshEntry renews the lease, and writes the entry if it is missing or out of date.
+func (r *Roster) refreshEntry(ctx context.Context) error {
 	r.mu.Lock()
 	written, leaving, id := r.written, r.leaving, r.lease
 	r.mu.Unlock()
@@ -258,13 +259,13 @@
 	}
 	if id == "" {
 		var err error
-		if id, err = r.cfg.Store.Grant(ctx, leaseTime); err != nil {
+		if id, err = r.cfg.Store.Grant(ctx, leaseTTL); err != nil {
 			return err
 		}
 	}
 	vm := r.cfg.Self
 	vm.Leaving = leaving
-	if err := r.write(ctx, vm, id); err != nil {
+	if err := r.writeEntry(ctx, vm, id); err != nil {
 		return err
 	}
 	r.mu.Lock()
@@ -273,8 +274,8 @@
 	return nil
 }
 
-// write puts the entry over the one that an earlier incarnation may have left.
-func (r *Roster) write(ctx context.Context, vm core.VM, id core.LeaseID) error {
+// writeEntry writes the entry. It replaces one that an earlier process of the same VM may have left.
+func (r *Roster) writeEntry(ctx context.Context, vm core.VM, id core.LeaseID) error {
 	value, err := json.Marshal(vm)
 	if err != nil {
 		return err
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -84,8 +84,8 @@
 	return r
 }
 
-// Guards against VMs that start together and don't find each other, and against calls that grow with
-// the VMs: each one is charged.
+// Guards against VMs that start at the same time and don't find each other, and against too many calls to
+// the store, each of which is charged.
 func TestVMsFindEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{entries: map[string]core.Entry{}}
@@ -103,9 +103,9 @@
 	})
 }
 
-// Guards against forgetting VMs whose entries the store took away, and against an entry that stays
-// away.
-func TestEntriesTakenAway(t *testing.T) {
+// Guards against dropping live VMs whose entries the store has lost, and against an entry that is not
+// written again.
+func TestEntriesLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{entries: map[string]core.Entry{}}
 		a, b := start(t, s, "a"), start(t, s, "b")
@@ -121,21 +121,21 @@
 	})
 }
 
-// Guards against owners that stop and are still taken for owners.
+// Guards against a VM that is stopping and is not listed as leaving by the others.
 func TestLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{entries: map[string]core.Entry{}}
 		a, b := start(t, s, "a"), start(t, s, "b")
 		time.Sleep(10 * time.Second)
 		b.Leave()
-		time.Sleep(listEvery + time.Second)
+		time.Sleep(listInterval + time.Second)
 		for _, vm := range a.Alive() {
 			assert.Equal(t, vm.Leaving, vm.ID == "b")
 		}
 	})
 }
 
-// Guards against losing the list while the store is down.
+// Guards against an empty list while the store is down.
 func TestStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{entries: map[string]core.Entry{}}
