--- a/core/topo/feed.go
+++ b/core/topo/feed.go
@@ -13,66 +13,64 @@
 )
 
 const (
-	// watchTime is how long one watch waits. A store that drops its history, or a connection that went
-	// silent, can leave a watch waiting although there were changes. The platform allows 5 s after
-	// such a disruption before configurations have to be in force in time again.
-	watchTime = 4 * time.Second
-	// listTimeout limits one listing.
+	// watchTime is how long one watch waits. If the store drops its history or the connection hangs, a
+	// watch can miss changes until it ends. After such a disruption the platform allows 5 s before
+	// configurations must be in force in time again.
+	watchTime   = 4 * time.Second
 	listTimeout = 3 * time.Second
-	// watchSlack is what a watch may take beyond its waiting time, about three round trips to a slow
-	// store.
-	watchSlack = 700 * time.Millisecond
-	// minBackoff and maxBackoff limit the time between calls after failures. The longest one stays
-	// well below the 3 s in which a configuration has to be in force.
+	// watchMargin is the part of a watch's timeout that exceeds watchTime: about three round trips to a
+	// slow store.
+	watchMargin = 700 * time.Millisecond
+	// minBackoff and maxBackoff limit the backoff after failed calls. maxBackoff is well below the 3 s
+	// within which a configuration must be in force.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 800 * time.Millisecond
 )
 
 // FeedConfig configures a Feed.
 type FeedConfig struct {
-	// Title names the feed in logs and in the kernel.
+	// Title identifies the feed in logs and in its service name.
 	Title string
 	Store core.PrefixStore
 	// Prefix selects the keys.
 	Prefix string
-	// Reset gets a complete listing, Event each change after it.
+	// Reset is called with a complete listing, Event with each change after it.
 	Reset func(entries []core.Entry)
 	Event func(e core.Event)
 	Log   log.Logger
 }
 
-// Feed follows the keys with a prefix. It implements core.Service.
+// Feed lists the keys with a prefix and then watches them. It implements core.Service.
 type Feed struct {
 	cfg     FeedConfig
 	backoff time.Duration
 	lost    bool
 }
 
-// NewFeed returns a feed.
+// NewFeed returns a feed. It makes no calls until Run is called.
 func NewFeed(cfg FeedConfig) *Feed { return &Feed{cfg: cfg} }
 
 // Name implements core.Service.
 func (f *Feed) Name() string { return "feed/" + f.cfg.Title }
 
-// Run follows the keys until ctx ends. While the store can't be reached, what is known stays in
-// force.
+// Run lists and watches the keys until ctx ends, and returns nil. It retries failed calls with a backoff.
 func (f *Feed) Run(ctx context.Context) error {
-	var at core.Version
+	var version core.Version
 	listed := false
 	for ctx.Err() == nil {
 		var err error
 		if !listed {
-			at, err = f.list(ctx)
+			version, err = f.list(ctx)
 			listed = err == nil
 		} else {
-			at, err = f.watch(ctx, at)
+			version, err = f.watch(ctx, version)
 			if errors.Is(err, core.ErrCompacted) {
-				level.Info(f.cfg.Log).Log("Msg", "history is gone, listing again", "Feed", f.cfg.Title, "After", at)
+				level.Info(f.cfg.Log).Log("Msg", "history is gone, listing again", "Feed", f.cfg.Title, "After", version)
 				listed = false
 				continue
 			}
 		}
-		f.pause(ctx, err)
+		f.afterCall(ctx, err)
 	}
 	return nil
 }
@@ -89,7 +87,7 @@
 }
 
 func (f *Feed) watch(ctx context.Context, after core.Version) (core.Version, error) {
-	ctx, cancel := context.WithTimeout(ctx, watchTime+watchSlack)
+	ctx, cancel := context.WithTimeout(ctx, watchTime+watchMargin)
 	defer cancel()
 	events, at, err := f.cfg.Store.WatchPrefix(ctx, f.cfg.Prefix, after, watchTime)
 	if err != nil {
@@ -101,9 +99,9 @@
 	return max(at, after), nil
 }
 
-// pause logs a lost or regained store and waits after a failure. Jitter keeps the entry VMs from
-// calling at the same moments.
-func (f *Feed) pause(ctx context.Context, err error) {
+// afterCall logs when the store is lost or regained, and waits after a failure. Jitter keeps the entry VMs
+// from calling the store all at the same time.
+func (f *Feed) afterCall(ctx context.Context, err error) {
 	if err == nil {
 		if f.lost {
 			level.Info(f.cfg.Log).Log("Msg", "store regained", "Feed", f.cfg.Title)
--- a/core/topo/topo.go
+++ b/core/topo/topo.go
@@ -1,10 +1,10 @@
-// Package topo is what an entry VM knows of its deployment: the routes and groups of the operators'
-// configuration, and the upstreams that discovery reports.
+// Package topo holds the topology of the deployment as an entry VM knows it: the routes and groups of the
+// operators' configuration, and the upstreams that discovery reports.
 //
-// A Directory holds the newest state as an immutable Snapshot. Configurations are adopted only with a
-// higher version, so that an entry VM never goes back to an older one. An upstream whose entry
-// disappears stays usable for a grace time: entries also expire while the store is unwell, and come
-// back.
+// A Directory holds the newest state as an immutable Snapshot. A configuration is adopted only if its
+// version is higher, so that an entry VM never returns to an older one. An upstream whose entry
+// disappears remains usable for a grace period, since entries also expire during failures of the store
+// and are restored afterwards.
 //
 // # Usage
 //
@@ -24,29 +24,29 @@
 	"snipewall/core"
 )
 
-// missingGrace is how long an upstream is used after its entry disappeared. The platform restores
-// entries that expired during an outage within about 2 s of its return.
-const missingGrace = 2500 * time.Millisecond
+// missingGracePeriod is how long an upstream remains usable after its entry disappeared. The platform
+// restores entries that expired during an outage within about 2 s after the outage.
+const missingGracePeriod = 2500 * time.Millisecond
 
-// Consistency is what the reads of a route must see.
+// Consistency is the consistency of a route's reads.
 type Consistency uint8
 
 // Consistencies of routes.
 const (
-	// Strict reads see every acknowledged commit.
+	// Strict reads see all commits acknowledged before.
 	Strict Consistency = iota
-	// Bounded reads may miss commits that were acknowledged within the route's MaxAge.
+	// Bounded reads may miss commits that were acknowledged within the last Route.MaxAge.
 	Bounded
-	// ReadYourWrites reads are like bounded ones and see all commits of their own session.
+	// ReadYourWrites reads are bounded and also see all commits of their own session.
 	ReadYourWrites
 )
 
-// Route says how the work for one database is served.
+// Route is the configuration for one database.
 type Route struct {
 	Database string
 	Group    core.GroupID
 	Reads    Consistency
-	// MaxAge is the accepted age of bounded reads.
+	// MaxAge is the highest age of the data that bounded reads may see.
 	MaxAge time.Duration
 	// StatementTimeout limits one statement.
 	StatementTimeout time.Duration
@@ -56,7 +56,7 @@
 // Group is one database group of the configuration.
 type Group struct {
 	ID core.GroupID
-	// Connections is the connection limit of each upstream, over all entry VMs.
+	// Connections is the connection limit of each upstream, shared by all entry VMs.
 	Connections int
 }
 
@@ -75,17 +75,17 @@
 	core.UpstreamInfo
 	Role    core.Role
 	Leaving bool
-	// Born tells incarnations of the same id apart.
+	// Born distinguishes successive upstreams with the same id.
 	Born int64
-	// Missing is when the entry disappeared, or zero.
-	Missing time.Time
+	// MissingSince is when the upstream's entry disappeared, or zero.
+	MissingSince time.Time
 }
 
-// Snapshot is the state at one moment. It is never changed.
+// Snapshot is an immutable state of a Directory.
 type Snapshot struct {
 	Config    Config
 	Upstreams map[core.UpstreamID]Upstream
-	// Changed is closed when a newer snapshot exists.
+	// Changed is closed when the directory has a newer snapshot.
 	Changed chan struct{}
 }
 
@@ -95,11 +95,11 @@
 	return r, ok
 }
 
-// Group returns the group's upstreams that may be used, ordered by id.
+// Group returns the usable upstreams of the group, sorted by id.
 func (s *Snapshot) Group(id core.GroupID) []Upstream {
 	var out []Upstream
 	for _, u := range s.Upstreams {
-		if u.Group == id && !u.gone() {
+		if u.Group == id && !u.isGone() {
 			out = append(out, u)
 		}
 	}
@@ -112,7 +112,9 @@
 	return out
 }
 
-func (u *Upstream) gone() bool { return !u.Missing.IsZero() && time.Since(u.Missing) > missingGrace }
+func (u *Upstream) isGone() bool {
+	return !u.MissingSince.IsZero() && time.Since(u.MissingSince) > missingGracePeriod
+}
 
 // Directory holds the newest snapshot. It is safe for concurrent use.
 type Directory struct {
@@ -130,7 +132,7 @@
 // Snapshot returns the newest state.
 func (d *Directory) Snapshot() *Snapshot { return d.current.Load() }
 
-// Apply adopts the configuration if its version is higher than the one in force.
+// Apply adopts the configuration and returns true if its version is higher than the current one.
 func (d *Directory) Apply(c Config) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -147,12 +149,12 @@
 	d.update(func(m map[core.UpstreamID]Upstream) { m[u.ID] = u })
 }
 
-// Remove notes that the upstream's entry is gone.
+// Remove handles the disappearance of an upstream's entry.
 func (d *Directory) Remove(id core.UpstreamID) {
 	d.update(func(m map[core.UpstreamID]Upstream) { markMissing(m, id) })
 }
 
-// Sync replaces the upstreams by a complete listing.
+// Sync updates all upstreams from a complete listing.
 func (d *Directory) Sync(all []Upstream) {
 	d.update(func(m map[core.UpstreamID]Upstream) {
 		listed := make(map[core.UpstreamID]bool, len(all))
@@ -168,18 +170,18 @@
 	})
 }
 
-// markMissing starts the grace time of an upstream. One that was leaving has said so itself, and its
-// entry isn't expected back.
+// markMissing starts the grace period of an upstream whose entry disappeared. An upstream that was leaving
+// is removed at once, since its entry won't be restored.
 func markMissing(m map[core.UpstreamID]Upstream, id core.UpstreamID) {
 	u, ok := m[id]
-	if !ok || !u.Missing.IsZero() {
+	if !ok || !u.MissingSince.IsZero() {
 		return
 	}
 	if u.Leaving {
 		delete(m, id)
 		return
 	}
-	u.Missing = time.Now()
+	u.MissingSince = time.Now()
 	m[id] = u
 }
 
@@ -191,7 +193,7 @@
 	if m == nil {
 		m = make(map[core.UpstreamID]Upstream)
 	}
-	maps.DeleteFunc(m, func(_ core.UpstreamID, u Upstream) bool { return u.gone() })
+	maps.DeleteFunc(m, func(_ core.UpstreamID, u Upstream) bool { return u.isGone() })
 	change(m)
 	d.publish(old, Snapshot{Config: old.Config, Upstreams: m})
 }
--- a/core/topo/topo_test.go
+++ b/core/topo/topo_test.go
@@ -18,7 +18,7 @@
 	return Upstream{UpstreamInfo: core.UpstreamInfo{ID: core.UpstreamID(id), Group: "g"}}
 }
 
-// Guards against going back to an older configuration.
+// Guards against returning to an older configuration.
 func TestVersionsOnlyGrow(t *testing.T) {
 	d := NewDirectory()
 	assert.Assert(t, d.Apply(Config{Version: 5}))
@@ -29,7 +29,7 @@
 }
 
 // Guards against dropping all upstreams when their entries expire during an outage of the store, and
-// against using one that is gone.
+// against using one that was removed.
 func TestMissingEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := NewDirectory()
@@ -40,15 +40,15 @@
 		assert.Equal(t, len(d.Snapshot().Group("g")), 1, "one that was leaving is gone at once")
 		time.Sleep(2 * time.Second)
 		d.Put(upstream("a"))
-		time.Sleep(missingGrace)
+		time.Sleep(missingGracePeriod)
 		assert.Equal(t, len(d.Snapshot().Group("g")), 1, "its entry is back")
 		d.Remove("a")
-		time.Sleep(missingGrace + time.Millisecond)
+		time.Sleep(missingGracePeriod + time.Millisecond)
 		assert.Equal(t, len(d.Snapshot().Group("g")), 0)
 	})
 }
 
-// fakeStore is a store whose watches hear nothing unless told.
+// fakeStore is a store whose watches deliver no events.
 type fakeStore struct {
 	mu      sync.Mutex
 	entries []core.Entry
@@ -111,10 +111,10 @@
 	return &resets
 }
 
-// Guards against a change that stays hidden while the store drops its history and leaves the watch
-// waiting: gbpc-shore scale-1, CONFIG broken 11 times with 20 s watches. The change must be known
-// within the 5 s after which configurations are due again.
-func TestSilentWatch(t *testing.T) {
+// Guards against a change that is missed for too long after the store dropped its history and left the
+// watch waiting: with watches of 20 s, configurations were late 11 times. The change must be known
+// within 5 s.
+func TestWatchMissesChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{version: 3}
 		resets := runFeed(t, s)
@@ -127,7 +127,8 @@
 	})
 }
 
-// Guards against a store that is called without pause while it is down, and against a slow return.
+// Guards against calling a store that is down without a backoff, and against a slow recovery after it is
+// back.
 func TestStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{version: 3}
