--- a/core/peers/dump.go
+++ b/core/peers/dump.go
@@ -11,7 +11,7 @@
 
 type counter = atomic.Uint64
 
-// memberDump is one member in the dump.
+// memberDump is a member in a peersDump.
 type memberDump struct {
 	ID          core.VMID
 	Status      string
@@ -19,7 +19,7 @@
 	Since       time.Time
 }
 
-// peersDump is the state that the admin port shows.
+// peersDump is the result of Peers.Dump, for the admin port.
 type peersDump struct {
 	Self        core.VMID
 	Incarnation uint64
@@ -49,6 +49,6 @@
 		d.Members = append(d.Members, memberDump{ID: id, Status: m.status.String(), Incarnation: m.incarnation, Since: m.since})
 	}
 	slices.SortFunc(d.Members, func(a, b memberDump) int { return cmp.Compare(a.ID, b.ID) })
-	_, d.Marks = p.state.full(time.Now())
+	_, d.Marks = p.state.fullState(time.Now())
 	return d
 }
--- a/core/peers/fetch.go
+++ b/core/peers/fetch.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// maxAsked is how many members are asked for the table at the start.
-	maxAsked = 3
-	// rejectTime is how long a version that could not be adopted isn't fetched again.
-	rejectTime = time.Minute
+	// maxTableRequests is the number of members that AskTable tries.
+	maxTableRequests = 3
+	// rejectedRetryDelay is how long a version that couldn't be adopted isn't fetched again.
+	rejectedRetryDelay = time.Minute
 )
 
-// fetch gets the table from the member if its version is higher than the own one. Only one fetch is
-// under way; after a failure the next ping shows the version again.
+// fetch starts fetching the table from the member if its version is higher than the one in force. Only one
+// fetch runs at a time. A failed fetch is repeated when another ping reports the version.
 func (p *Peers) fetch(vm core.VM, version core.Version) {
 	if p.cfg.Table == nil || version <= p.cfg.Table.Version() {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	isRejected := version <= p.rejected && time.Since(p.rejectedAt) < rejectTime
+	isRejected := version <= p.rejected && time.Since(p.rejectedAt) < rejectedRetryDelay
 	if p.fetching || isRejected {
 		return
 	}
 	p.fetching = true
 	p.start(func() {
-		// The fetch outlives the ping that revealed the version.
-		ctx, cancel := context.WithTimeout(p.life, callTimeout)
+		// The fetch may take longer than the ping that reported the version.
+		ctx, cancel := context.WithTimeout(p.runCtx, callTimeout)
 		defer cancel()
 		p.fetchFrom(ctx, vm, version)
 		p.mu.Lock()
@@ -50,7 +50,7 @@
 	if err == nil {
 		return
 	}
-	level.Warn(p.cfg.Logger).Log("Msg", "table of a peer is not accepted", "VM", vm.ID, "Version", version, "Err", err)
+	level.Warn(p.cfg.Logger).Log("Msg", "table of a peer rejected", "VM", vm.ID, "Version", version, "Err", err)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rejected, p.rejectedAt = version, time.Now()
@@ -68,11 +68,11 @@
 	return &TableAnswer{Version: version, Data: data}, nil
 }
 
-// AskTable returns the table of a member that has one, for an entry VM that starts.
+// AskTable returns the encoded table of a random member that has one. An entry VM calls it at its start.
 func (p *Peers) AskTable(ctx context.Context) ([]byte, error) {
 	err := core.ErrPeer.New("no other entry VM is known")
-	for _, vm := range p.sample(maxAsked, "") {
-		data, askErr := p.askOne(ctx, vm)
+	for _, vm := range p.randomMembers(maxTableRequests, "") {
+		data, askErr := p.requestTable(ctx, vm)
 		if askErr == nil {
 			return data, nil
 		}
@@ -81,7 +81,7 @@
 	return nil, err
 }
 
-func (p *Peers) askOne(ctx context.Context, vm core.VM) ([]byte, error) {
+func (p *Peers) requestTable(ctx context.Context, vm core.VM) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	answer, err := p.cfg.Transport.Table(ctx, vm.Control, &TableRequest{})
--- a/core/peers/fleet_test.go
+++ b/core/peers/fleet_test.go
@@ -16,10 +16,10 @@
 	"snipewall/core"
 )
 
-// maxFleet limits the fleets of the tests. With 520, the tests take several minutes.
+// maxFleet is the size above which test cases are skipped. With 520, the tests take several minutes.
 var maxFleet = flag.Int("fleet", 64, "largest fleet to simulate")
 
-// network connects the members of a fleet within one process, on the clock of the test.
+// network connects the members of a fleet within one process, in a synctest bubble.
 type network struct {
 	mu     sync.Mutex
 	nodes  map[string]*node
@@ -36,18 +36,19 @@
 	done   chan error
 }
 
-const oneWay = time.Millisecond
+const oneWayDelay = time.Millisecond
 
 var errUnreachable = errors.New("unreachable")
 
-// link is a member's transport.
-type link struct {
+// fakeTransport is the Transport of one member.
+type fakeTransport struct {
 	net  *network
 	from core.VM
 }
 
-// reach returns the member at the address, after the time on the way, or waits until ctx ends.
-func (l *link) reach(ctx context.Context, address string) (*node, error) {
+// reach returns the member at the address after the one-way delay. If it can't be reached or is paused, it
+// waits until ctx ends.
+func (l *fakeTransport) reach(ctx context.Context, address string) (*node, error) {
 	l.net.mu.Lock()
 	n := l.net.nodes[address]
 	isCut := n != nil && l.net.cut[[2]core.FailureDomain{l.from.FailureDomain, n.Self().FailureDomain}]
@@ -61,37 +62,37 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	sleep(ctx, oneWay)
+	sleep(ctx, oneWayDelay)
 	return n, ctx.Err()
 }
 
-func call[Q, A any](ctx context.Context, l *link, address string, req *Q, serve func(*node, context.Context, *Q) (*A, error)) (*A, error) {
+func call[Q, A any](ctx context.Context, l *fakeTransport, address string, req *Q, serve func(*node, context.Context, *Q) (*A, error)) (*A, error) {
 	n, err := l.reach(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	answer, err := serve(n, ctx, req)
-	sleep(ctx, oneWay)
+	sleep(ctx, oneWayDelay)
 	return answer, err
 }
 
-func (l *link) Ping(ctx context.Context, address string, req *PingRequest) (*PingAnswer, error) {
+func (l *fakeTransport) Ping(ctx context.Context, address string, req *PingRequest) (*PingAnswer, error) {
 	return call(ctx, l, address, req, (*node).Ping)
 }
 
-func (l *link) Probe(ctx context.Context, address string, req *ProbeRequest) (*ProbeAnswer, error) {
+func (l *fakeTransport) Probe(ctx context.Context, address string, req *ProbeRequest) (*ProbeAnswer, error) {
 	return call(ctx, l, address, req, (*node).Probe)
 }
 
-func (l *link) Sync(ctx context.Context, address string, req *SyncRequest) (*SyncAnswer, error) {
+func (l *fakeTransport) Sync(ctx context.Context, address string, req *SyncRequest) (*SyncAnswer, error) {
 	return call(ctx, l, address, req, (*node).Sync)
 }
 
-func (l *link) Table(ctx context.Context, address string, req *TableRequest) (*TableAnswer, error) {
+func (l *fakeTransport) Table(ctx context.Context, address string, req *TableRequest) (*TableAnswer, error) {
 	return call(ctx, l, address, req, (*node).Table)
 }
 
-// fakeTable is a table that consists of its version only.
+// fakeTable is a Table without any content but its version.
 type fakeTable struct {
 	mu      sync.Mutex
 	version core.Version
@@ -122,7 +123,7 @@
 	return f.version, nil
 }
 
-// fleet is a set of members that have joined.
+// fleet is a set of members and the network that connects them.
 type fleet struct {
 	t        *testing.T
 	net      *network
@@ -143,7 +144,7 @@
 	for i := range size {
 		f.add(i, domains)
 	}
-	f.within(time.Minute, "all have joined", func() bool { return f.agree(f.nodes, size) })
+	f.waitFor(time.Minute, "all have joined", func() bool { return f.allSee(f.nodes, size) })
 	return f
 }
 
@@ -163,7 +164,7 @@
 	var err error
 	n.Peers, err = New(Config{
 		Self: vm, Seeds: f.seeds,
-		Transport: &link{net: f.net, from: vm}, Table: n.table, Platform: f.platform,
+		Transport: &fakeTransport{net: f.net, from: vm}, Table: n.table, Platform: f.platform,
 	})
 	assert.NilError(f.t, err)
 	f.net.mu.Lock()
@@ -178,11 +179,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	go func() { n.done <- n.Run(ctx) }()
-	// Members start at different moments, as they do in a fleet.
+	// Members of a real fleet don't ping at the same time either.
 	time.Sleep(7 * time.Millisecond)
 }
 
-// kill takes the member off the network without a word.
+// kill removes the member from the network without letting it tell the others.
 func (f *fleet) kill(n *node) {
 	f.net.mu.Lock()
 	delete(f.net.nodes, n.Self().Control)
@@ -209,7 +210,7 @@
 	f.net.cut[[2]core.FailureDomain{b, a}] = cut
 }
 
-func (f *fleet) in(domains ...core.FailureDomain) []*node {
+func (f *fleet) membersIn(domains ...core.FailureDomain) []*node {
 	var list []*node
 	for _, n := range f.nodes {
 		if slices.Contains(domains, n.Self().FailureDomain) {
@@ -219,13 +220,13 @@
 	return list
 }
 
-// agree reports whether each of the nodes sees the number of live members.
-func (f *fleet) agree(nodes []*node, size int) bool {
+// allSee reports whether each of the nodes sees size live members.
+func (f *fleet) allSee(nodes []*node, size int) bool {
 	return !slices.ContainsFunc(nodes, func(n *node) bool { return len(n.Alive()) != size })
 }
 
-// within waits until the condition holds and returns how long that took.
-func (f *fleet) within(limit time.Duration, what string, ok func() bool) time.Duration {
+// waitFor waits until ok returns true and returns how long that took. It fails the test after the limit.
+func (f *fleet) waitFor(limit time.Duration, what string, ok func() bool) time.Duration {
 	f.t.Helper()
 	start := time.Now()
 	for !ok() {
@@ -241,10 +242,10 @@
 	return time.Since(start)
 }
 
-// Guards against news that reach the fleet late: a leaving upstream, a version of the table, a dead
-// member and one that stopped. The limits of marks and tables are those of the design page; the page
-// sets none for a dead member.
-func TestSpread(t *testing.T) {
+// Guards against updates that reach the members late: a leaving upstream, a version of the table, a dead
+// member and one that stopped. The limits for marks and tables are those of the design page, which has
+// none for a dead member.
+func TestUpdatesReachAllMembers(t *testing.T) {
 	for _, tt := range []struct {
 		size               int
 		mark, table, death time.Duration
@@ -261,27 +262,27 @@
 				f := newFleet(t, tt.size, 4)
 				time.Sleep(time.Minute)
 				f.nodes[3].MarkLeaving("ledger-1", true)
-				mark := f.within(tt.mark, "all know the leaving upstream", func() bool {
+				mark := f.waitFor(tt.mark, "all know the leaving upstream", func() bool {
 					return !slices.ContainsFunc(f.nodes, func(n *node) bool { return !n.IsLeaving("ledger-1") })
 				})
 				_, err := f.nodes[5].table.Adopt([]byte("7"), "store")
 				assert.NilError(t, err)
 				f.nodes[5].Announce()
-				table := f.within(tt.table, "all have the table", func() bool {
+				table := f.waitFor(tt.table, "all have the table", func() bool {
 					return !slices.ContainsFunc(f.nodes, func(n *node) bool { return n.table.Version() != 7 })
 				})
 				f.kill(f.nodes[4])
-				death := f.within(tt.death, "the dead member is gone", func() bool { return f.agree(f.nodes, tt.size-1) })
+				death := f.waitFor(tt.death, "the dead member is gone", func() bool { return f.allSee(f.nodes, tt.size-1) })
 				leaver := f.nodes[2]
 				leaver.Leave(t.Context())
-				left := f.within(tt.mark, "the stopped member is gone", func() bool { return f.agree(f.nodes, tt.size-2) })
+				left := f.waitFor(tt.mark, "the stopped member is gone", func() bool { return f.allSee(f.nodes, tt.size-2) })
 				t.Logf("%d members: mark %s, table %s, death %s, stop %s", tt.size, mark, table, death, left)
 			})
 		})
 	}
 }
 
-// Guards against a live member that is given up, by a lost ping or a short pause.
+// Guards against a live member that is declared dead after a lost ping or a short pause.
 func TestPausedMemberRefutes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 8, 2)
@@ -295,16 +296,16 @@
 			f.net.paused[n.Self().Control] = false
 			f.net.mu.Unlock()
 			for range 100 {
-				assert.Assert(t, f.agree(f.nodes, 8))
+				assert.Assert(t, f.allSee(f.nodes, 8))
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
 	})
 }
 
-// Guards against a cut that never heals, and against live members that are given up on their own
-// side when it does.
-func TestCutAndJoin(t *testing.T) {
+// Guards against members that don't find each other again after a network partition, and against live
+// members that their own side declares dead while the two sides join again.
+func TestPartitionHeals(t *testing.T) {
 	for _, tt := range []struct {
 		size int
 		cut  time.Duration
@@ -319,9 +320,9 @@
 				for _, d := range []int{1, 2, 3} {
 					f.setCut(domain(0), domain(d), true)
 				}
-				inside, outside := f.in(domain(0)), f.in(domain(1), domain(2), domain(3))
-				apart := f.within(3*time.Minute, "both sides see only themselves", func() bool {
-					return f.agree(inside, len(inside)) && f.agree(outside, len(outside))
+				inside, outside := f.membersIn(domain(0)), f.membersIn(domain(1), domain(2), domain(3))
+				apart := f.waitFor(3*time.Minute, "both sides see only themselves", func() bool {
+					return f.allSee(inside, len(inside)) && f.allSee(outside, len(outside))
 				})
 				time.Sleep(tt.cut)
 				inside[0].MarkLeaving("ledger-1", true)
@@ -331,14 +332,14 @@
 					f.setCut(domain(0), domain(d), false)
 				}
 				lowIn, lowOut := len(inside), len(outside)
-				joined := f.within(3*time.Minute, "all see all", func() bool {
+				joined := f.waitFor(3*time.Minute, "all see all", func() bool {
 					for _, n := range inside {
 						lowIn = min(lowIn, len(n.Alive()))
 					}
 					for _, n := range outside {
 						lowOut = min(lowOut, len(n.Alive()))
 					}
-					return f.agree(f.nodes, size) && !slices.ContainsFunc(f.nodes, func(n *node) bool {
+					return f.allSee(f.nodes, size) && !slices.ContainsFunc(f.nodes, func(n *node) bool {
 						return !n.IsLeaving("ledger-1") || n.table.Version() != 9
 					})
 				})
@@ -351,8 +352,8 @@
 	}
 }
 
-// Guards against a member that stays dead after a long pause.
-func TestPausedMemberComesBack(t *testing.T) {
+// Guards against a member that isn't taken back after a long pause.
+func TestPausedMemberRejoins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 8, 2)
 		n := f.nodes[6]
@@ -360,30 +361,30 @@
 		f.net.paused[n.Self().Control] = true
 		f.net.mu.Unlock()
 		rest := slices.DeleteFunc(slices.Clone(f.nodes), func(other *node) bool { return other == n })
-		f.within(10*time.Second, "the member is gone", func() bool { return f.agree(rest, 7) })
+		f.waitFor(10*time.Second, "the member is gone", func() bool { return f.allSee(rest, 7) })
 		time.Sleep(time.Minute)
 		f.net.mu.Lock()
 		f.net.paused[n.Self().Control] = false
 		f.net.mu.Unlock()
-		f.within(6*time.Second, "the member is back", func() bool { return f.agree(f.nodes, 8) })
+		f.waitFor(6*time.Second, "the member is back", func() bool { return f.allSee(f.nodes, 8) })
 	})
 }
 
-// Guards against a restarted member that stays dead because its incarnation is lower, and against a
-// dead member that passes for alive since a new VM has its address.
+// Guards against a restarted member that stays dead because its incarnation is lower, and against a dead
+// member that counts as alive because a new VM has its address.
 func TestRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 8, 2)
 		f.kill(f.nodes[7])
-		f.within(10*time.Second, "the member is gone", func() bool { return f.agree(f.nodes, 7) })
+		f.waitFor(10*time.Second, "the member is gone", func() bool { return f.allSee(f.nodes, 7) })
 		f.add(7, 2)
-		f.within(5*time.Second, "the member is back", func() bool { return f.agree(f.nodes, 8) })
+		f.waitFor(5*time.Second, "the member is back", func() bool { return f.allSee(f.nodes, 8) })
 		f.kill(f.nodes[7])
 		replacement := testVM(7, 2)
 		replacement.ID = "vm-new"
 		f.addVM(replacement)
-		f.within(10*time.Second, "the new VM has replaced the old one", func() bool {
-			return f.agree(f.nodes, 8) && !slices.ContainsFunc(f.nodes, func(n *node) bool {
+		f.waitFor(10*time.Second, "the new VM has replaced the old one", func() bool {
+			return f.allSee(f.nodes, 8) && !slices.ContainsFunc(f.nodes, func(n *node) bool {
 				return !slices.ContainsFunc(n.Alive(), func(vm core.VM) bool { return vm.ID == "vm-new" })
 			})
 		})
@@ -410,22 +411,22 @@
 	l.vms = vms
 }
 
-// Guards against a list that removes members that answer, against marks that are not spread or
-// not withdrawn, and against calls that grow with the fleet.
+// Guards against a platform's list that removes members that answer, against marks that are not spread or
+// not withdrawn, and against a number of calls that grows with the number of members.
 func TestPlatformList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &vmList{}
 		f := newListedFleet(t, 64, 4, list)
 		lost := core.VM{ID: "vm-lost", Control: "10.9.9.9:7001"}
-		// Only the list knows this member: its own seeds lead nowhere.
+		// Only the list has this member, which has no seeds itself.
 		stray := core.VM{ID: "vm-stray", FailureDomain: domain(0), Control: "10.8.8.8:7001"}
 		f.platform, f.seeds = nil, nil
 		f.addVM(stray)
 		leavingVM := testVM(9, 4)
 		leavingVM.Leaving = true
 		list.set(lost, stray, leavingVM, core.VM{ID: "db-1", Upstream: "ledger-1", Leaving: true}, core.VM{ID: "db-2", Upstream: "ledger-2"})
-		f.within(6*time.Second, "all know the marks", func() bool {
-			return f.agree(f.nodes, 65) && !slices.ContainsFunc(f.nodes, func(n *node) bool {
+		f.waitFor(6*time.Second, "all know the marks", func() bool {
+			return f.allSee(f.nodes, 65) && !slices.ContainsFunc(f.nodes, func(n *node) bool {
 				i := slices.IndexFunc(n.Alive(), func(vm core.VM) bool { return vm.ID == leavingVM.ID })
 				return !n.IsLeaving("ledger-1") || n.IsLeaving("ledger-2") || !n.Alive()[i].Leaving
 			})
@@ -435,7 +436,7 @@
 		list.calls = 0
 		list.mu.Unlock()
 		time.Sleep(10 * time.Minute)
-		assert.Assert(t, f.agree(f.nodes, 65))
+		assert.Assert(t, f.allSee(f.nodes, 65))
 		for _, n := range f.nodes {
 			assert.Assert(t, !n.IsLeaving("ledger-1"))
 		}
--- a/core/peers/list.go
+++ b/core/peers/list.go
@@ -11,18 +11,18 @@
 	"snipewall/core/place"
 )
 
-// listDuty is the name under which the entry VMs that poll the platform's list are elected.
-const listDuty = "snipewall/vms"
+// listElectionKey is the key that elects the entry VMs that poll the platform's list often.
+const listElectionKey = "snipewall/vms"
 
-// withdrawTime is how old a platform's leaving mark has to be before a list without it withdraws it.
-// Two entry VMs may read the list from places that lag differently.
-const withdrawTime = time.Minute
+// minWithdrawAge is the age from which a leaving mark is withdrawn by a platform's list without it. Two
+// entry VMs may read lists that are out of date by different times.
+const minWithdrawAge = time.Minute
 
-// maxCandidates limits the addresses that are tried again.
+// maxCandidates limits the number of candidate addresses.
 const maxCandidates = 2000
 
-// runList polls the platform's list of VMs: often on a few entry VMs of each failure domain, seldom
-// on the others, so that the platform's calls don't grow with the fleet.
+// runList polls the platform's list of VMs: often on a few entry VMs of each failure domain and rarely on
+// the others, so that the number of calls doesn't grow with the number of VMs.
 func (p *Peers) runList(ctx context.Context) {
 	if p.cfg.Platform == nil {
 		return
@@ -30,16 +30,16 @@
 	for ctx.Err() == nil {
 		vms, err := p.cfg.Platform.VMs(ctx)
 		if err != nil {
-			level.Warn(p.cfg.Logger).Log("Msg", "list of VMs not loaded", "Err", err)
+			level.Warn(p.cfg.Logger).Log("Msg", "polling the list of VMs failed", "Err", err)
 		}
-		p.takeList(vms)
-		p.waitList(ctx, time.Now())
+		p.applyList(vms)
+		p.waitForNextList(ctx, time.Now())
 	}
 }
 
-// waitList waits until the next poll is due.
-func (p *Peers) waitList(ctx context.Context, last time.Time) {
-	slow := max(minSlowListTime, slowListStep*time.Duration(len(p.Alive())))
+// waitForNextList waits until the next poll of the list is due. last is the time of the last one.
+func (p *Peers) waitForNextList(ctx context.Context, last time.Time) {
+	slow := max(minSlowListInterval, slowListIntervalPerMember*time.Duration(len(p.Alive())))
 	slow = slow/2 + rand.N(slow)
 	for ctx.Err() == nil {
 		sleep(ctx, p.cfg.ListInterval)
@@ -49,41 +49,41 @@
 	}
 }
 
-// isLister reports whether this entry VM polls often. One that knows no other does, since it may
-// have just started.
+// isLister reports whether this entry VM polls the list often. One that knows no other VM does, since it
+// may have just started.
 func (p *Peers) isLister() bool {
 	alive := p.Alive()
-	return len(alive) <= 1 || place.IsElected(listDuty, p.cfg.Self, alive, listers)
+	return len(alive) <= 1 || place.IsElected(listElectionKey, p.cfg.Self, alive, listers)
 }
 
-// takeList takes candidates and leaving marks from the platform's list.
-func (p *Peers) takeList(vms []core.VM) {
-	news := false
+// applyList updates candidates and leaving marks from the platform's list.
+func (p *Peers) applyList(vms []core.VM) {
+	changed := false
 	for _, vm := range vms {
 		m := Mark{VM: vm.ID, Source: SourcePlatform, Leaving: vm.Leaving}
 		if vm.Upstream != "" {
 			m = Mark{Upstream: vm.Upstream, Source: SourcePlatform, Leaving: vm.Leaving}
 		}
-		news = p.markListed(m) || news
+		changed = p.applyListedMark(m) || changed
 	}
-	if news {
+	if changed {
 		p.Announce()
 	}
 	p.setCandidates(vms)
 }
 
-// markListed takes a mark from the platform's list and reports whether it is news.
-func (p *Peers) markListed(m Mark) bool {
+// applyListedMark applies a mark from the platform's list and reports whether that changed anything.
+func (p *Peers) applyListedMark(m Mark) bool {
 	p.mu.Lock()
 	old := p.state.marks[m.key()]
 	p.mu.Unlock()
-	if !m.Leaving && time.Since(old.since) < withdrawTime {
+	if !m.Leaving && time.Since(old.since) < minWithdrawAge {
 		return false
 	}
 	return p.mark(m)
 }
 
-// setCandidates replaces the candidates from the list. Seeds from the settings stay.
+// setCandidates replaces the candidates from the platform's list. Seeds from the settings stay.
 func (p *Peers) setCandidates(vms []core.VM) {
 	if len(vms) == 0 {
 		return
@@ -102,7 +102,7 @@
 	}
 }
 
-// addCandidate adds an address to try. The caller holds mu or is alone. A seed has no id.
+// addCandidate adds a candidate address. id is empty for a seed. The caller holds mu, except in New.
 func (p *Peers) addCandidate(address string, id core.VMID) {
 	if _, known := p.candidates[address]; known || len(p.candidates) >= maxCandidates {
 		return
@@ -110,7 +110,7 @@
 	p.candidates[address] = id
 }
 
-// dropCandidate forgets an address that leads back to this entry VM.
+// dropCandidate removes a candidate address that turned out to be this entry VM's own.
 func (p *Peers) dropCandidate(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/core/peers/message.go
+++ b/core/peers/message.go
@@ -6,17 +6,17 @@
 	"snipewall/core"
 )
 
-// Status is what a record says about a member.
+// Status is the status of a member.
 type Status uint8
 
-// Statuses of a member. Of two records with the same incarnation, the one with the higher status
-// counts.
+// Statuses of a member. Of two records with the same incarnation, the one with the higher status takes
+// precedence.
 const (
 	StatusAlive Status = iota
 	// StatusSuspect is a member that didn't answer. It still counts as alive.
 	StatusSuspect
 	StatusDead
-	// StatusLeft is a member that said that it is stopping.
+	// StatusLeft is a member that has announced that it is stopping.
 	StatusLeft
 )
 
@@ -34,11 +34,11 @@
 	VM          core.VM
 	Status      Status
 	Incarnation uint64
-	// Age is how long ago the sender adopted StatusDead, in seconds.
+	// Age is the number of seconds since the sender adopted StatusDead.
 	Age uint32
 }
 
-// Source tells who saw that something is leaving.
+// Source is the origin of a Mark.
 type Source uint8
 
 // Sources of a Mark.
@@ -49,8 +49,8 @@
 	SourcePlatform
 )
 
-// Mark tells that an upstream or an entry VM is leaving, or no longer is. The one with the higher
-// stamp counts.
+// Mark is a record that an upstream or an entry VM is leaving, or no longer is. Of two marks with the same
+// subject and source, the one with the higher Stamp takes precedence.
 type Mark struct {
 	Upstream core.UpstreamID
 	// VM is set instead of Upstream for an entry VM.
@@ -60,19 +60,19 @@
 	Stamp   uint64
 }
 
-// Gossip is what every ping and every answer carries.
+// Gossip is the part that all pings, syncs and their answers have in common.
 type Gossip struct {
 	// Self is the sender's own record.
 	Self    Update
 	Updates []Update
 	Marks   []Mark
-	// Table is the version of the operators' table that the sender has.
+	// Table is the version of the sender's operators' table, or 0.
 	Table core.Version
 }
 
-// PingRequest asks a member for a sign of life.
+// PingRequest checks whether a member is alive, and exchanges gossip with it.
 type PingRequest struct {
-	// To is the member that the sender expects at the address, or empty for a candidate.
+	// To is the member that the sender expects at the address, or empty if it is a candidate.
 	To core.VMID
 	Gossip
 }
@@ -89,21 +89,21 @@
 
 // ProbeAnswer answers a ProbeRequest.
 type ProbeAnswer struct {
-	// Answered tells that the target answered with Self.
+	// Answered is set if the target answered. Self is then its record.
 	Answered bool
 	Self     Update
 }
 
-// SyncRequest compares the states of two members. The first request carries only a digest. If the
-// answer differs, a second one carries what the other side lacks.
+// SyncRequest compares the states of two members. The first request carries only a digest. If the digests
+// differ, a second request carries what the other side lacks.
 type SyncRequest struct {
 	Gossip
 	Digest uint64
-	// Push tells that this is the second request.
+	// Push is set in the second request.
 	Push bool
 }
 
-// SyncAnswer answers a SyncRequest. Its gossip is the full state unless Same is set.
+// SyncAnswer answers a SyncRequest. Its gossip contains the full state unless Same is set.
 type SyncAnswer struct {
 	Gossip
 	Same bool
@@ -111,17 +111,17 @@
 
 // TableRequest asks for the operators' table.
 type TableRequest struct {
-	// Have is the version that the sender has; only a higher one is sent.
+	// Have is the version that the sender has. Only a higher version is returned.
 	Have core.Version
 }
 
-// TableAnswer answers a TableRequest. Data is empty if there is no higher version.
+// TableAnswer answers a TableRequest. Data is empty if the version isn't higher than the sender's.
 type TableAnswer struct {
 	Version core.Version
 	Data    []byte
 }
 
-// Transport makes calls to the member at an address. A call ends when ctx ends.
+// Transport makes calls to the member at an address. A call returns at the latest when ctx ends.
 type Transport interface {
 	Ping(ctx context.Context, address string, req *PingRequest) (*PingAnswer, error)
 	Probe(ctx context.Context, address string, req *ProbeRequest) (*ProbeAnswer, error)
@@ -146,8 +146,8 @@
 type Table interface {
 	// Version returns the version in force, or 0.
 	Version() core.Version
-	// Encoded returns the version in force and its form for Adopt, or nil.
+	// Encoded returns the version in force and the table as Adopt accepts it, or 0 and nil without one.
 	Encoded() (core.Version, []byte)
-	// Adopt puts a higher version into force.
+	// Adopt puts the table into force if its version is higher, and returns the version in force.
 	Adopt(encoded []byte, source string) (core.Version, error)
 }
--- a/core/peers/peers.go
+++ b/core/peers/peers.go
@@ -15,69 +15,71 @@
 
 // Defaults of Config.
 const (
-	defaultInterval    = 500 * time.Millisecond
-	defaultPingTimeout = 250 * time.Millisecond
-	defaultRetryTime   = 2 * time.Second
-	defaultListTime    = 2 * time.Second
-	defaultForgetTime  = 3 * time.Hour
+	defaultPingInterval  = 500 * time.Millisecond
+	defaultPingTimeout   = 250 * time.Millisecond
+	defaultRetryInterval = 2 * time.Second
+	defaultListInterval  = 2 * time.Second
+	defaultForgetAfter   = 3 * time.Hour
 )
 
 // Limits that keep the traffic of an entry VM bounded.
 const (
-	// suspicionFactor is the suspicion time in intervals for a fleet of up to 9.
+	// suspicionFactor is the suspicion timeout in ping intervals for up to 9 members.
 	suspicionFactor = 5
-	// helpers is the number of members that are asked to ping one that didn't answer.
+	// helpers is the number of members that are asked to ping a member that didn't answer.
 	helpers = 2
-	// fanout is the number of members that hear urgent news at once.
+	// fanout is the number of members to which urgent updates are sent at once.
 	fanout = 3
-	// leaveFanout is the number of members that hear at once that this one leaves.
+	// leaveFanout is the number of members that are told at once that this one leaves.
 	leaveFanout = 8
-	// urgentSpacing is the least time between two rounds of urgent news.
-	urgentSpacing = 100 * time.Millisecond
-	// maxProbes is the number of probes that may be under way.
+	// minUrgentInterval is the shortest time between two rounds of urgent updates.
+	minUrgentInterval = 100 * time.Millisecond
+	// maxProbes is the maximum number of concurrent probes.
 	maxProbes = 4
-	// minSyncTime and syncStep give the time between two comparisons of digests. It grows with the
-	// fleet, as the full state does.
-	minSyncTime = 30 * time.Second
-	syncStep    = 500 * time.Millisecond
-	// minQuickSync and quickSyncStep give the time until the comparison that follows a change of the
-	// own view. It finds what gossip missed when much changed at once.
-	minQuickSync  = 10 * time.Second
-	quickSyncStep = 40 * time.Millisecond
-	// listers is how many entry VMs of each failure domain poll the platform's list often.
+	// The interval between comparisons of digests is syncIntervalPerMember times the number of members, at
+	// least minSyncInterval, since the full state grows with the number of members.
+	minSyncInterval       = 30 * time.Second
+	syncIntervalPerMember = 500 * time.Millisecond
+	// The delay from a change of the view to an additional comparison is quickSyncDelayPerMember times the
+	// number of members, at least minQuickSyncDelay. The comparison finds what gossip missed when much
+	// changed at once.
+	minQuickSyncDelay       = 10 * time.Second
+	quickSyncDelayPerMember = 40 * time.Millisecond
+	// listers is the number of entry VMs in each failure domain that poll the platform's list often.
 	listers = 2
-	// minSlowListTime and slowListStep give the time between two polls of the others.
-	minSlowListTime = time.Minute
-	slowListStep    = 2 * time.Second
+	// The poll interval of the other entry VMs is slowListIntervalPerMember times the number of members,
+	// at least minSlowListInterval.
+	minSlowListInterval       = time.Minute
+	slowListIntervalPerMember = 2 * time.Second
 	// callTimeout limits calls that carry a full state or the table.
 	callTimeout = 3 * time.Second
-	// leaveTimeout limits the spreading of the last message.
+	// leaveTimeout limits the pings that announce that this member leaves.
 	leaveTimeout = 400 * time.Millisecond
 )
 
-// Config sets up a Peers.
+// Config configures a Peers.
 type Config struct {
 	// Self describes this entry VM; ID and Control are required.
 	Self core.VM
 	// Seeds are control addresses of other entry VMs from the settings.
-	Seeds []string
-	// Transport makes the calls.
+	Seeds     []string
 	Transport Transport
-	// Platform lists VMs; nil means that there are only the seeds.
+	// Platform lists VMs. If it is nil, the seeds are the only candidates.
 	Platform Platform
-	// Table is the operators' table; nil means none.
+	// Table is the operators' table. If it is nil, no table is distributed.
 	Table Table
-	// PingInterval is the time between two pings, 500 ms if 0.
+	// PingInterval is the time between two pings. The default is 500 ms.
 	PingInterval time.Duration
-	// PingTimeout limits a ping, 250 ms if 0.
+	// PingTimeout limits a ping. The default is 250 ms.
 	PingTimeout time.Duration
-	// RetryTime is the time between two tries of a dead member or candidate, 2 s if 0.
-	RetryTime time.Duration
-	// ListInterval is the time between two polls of the platform's list by those that poll often, 2 s if 0.
+	// RetryInterval is the time between two pings of dead members or candidates. The default is 2 s.
+	RetryInterval time.Duration
+	// ListInterval is the time between two polls of the platform's list on the entry VMs that poll it
+	// often. The default is 2 s.
 	ListInterval time.Duration
-	// ForgetTime is how long dead members are tried again, 3 h if 0.
-	ForgetTime time.Duration
-	// Logger is for changes of the membership; nil means none.
+	// ForgetAfter is how long dead members are kept and pinged. The default is 3 h.
+	ForgetAfter time.Duration
+	// Logger logs changes of the membership. The default discards them.
 	Logger log.Logger
 }
 
@@ -87,41 +89,41 @@
 			*d = value
 		}
 	}
-	set(&cfg.PingInterval, defaultInterval)
+	set(&cfg.PingInterval, defaultPingInterval)
 	set(&cfg.PingTimeout, defaultPingTimeout)
-	set(&cfg.RetryTime, defaultRetryTime)
-	set(&cfg.ListInterval, defaultListTime)
-	set(&cfg.ForgetTime, defaultForgetTime)
+	set(&cfg.RetryInterval, defaultRetryInterval)
+	set(&cfg.ListInterval, defaultListInterval)
+	set(&cfg.ForgetAfter, defaultForgetAfter)
 	if cfg.Logger == nil {
 		cfg.Logger = log.NewNopLogger()
 	}
 }
 
-// Peers is the view of the entry VMs from this one. It implements core.Members, is the core service
-// "peers" and serves the calls of other members.
+// Peers is this entry VM's view of all entry VMs. It implements core.Members, core.Service and Handler and
+// is safe for concurrent use.
 type Peers struct {
 	cfg  Config
 	view atomic.Pointer[view]
-	// urgent asks for a round of urgent news.
+	// urgent requests a round of urgent updates.
 	urgent chan struct{}
-	// life ends with Run.
-	life   context.Context
-	end    context.CancelFunc
-	probes chan struct{}
-	stats  stats
+	// runCtx is canceled when Run returns.
+	runCtx     context.Context
+	cancelRun  context.CancelFunc
+	probeSlots chan struct{}
+	stats      stats
 
 	tasksMu sync.Mutex
-	// tasks counts the goroutines of calls. None is started once the service has stopped.
+	// tasks counts the goroutines that make calls. After stopped is set, no more are started.
 	tasks   sync.WaitGroup
 	stopped bool
 
-	mu         sync.Mutex
-	state      *state
-	order      []core.VMID
-	turn       bool
-	candidates map[string]core.VMID
-	fetching   bool
-	// rejected is a version of the table that could not be adopted, and when that was.
+	mu           sync.Mutex
+	state        *state
+	pingOrder    []core.VMID
+	doubtfulTurn bool
+	candidates   map[string]core.VMID
+	fetching     bool
+	// rejected is the last version of the table that couldn't be adopted, rejectedAt when that was.
 	rejected   core.Version
 	rejectedAt time.Time
 }
@@ -133,10 +135,10 @@
 	_ Handler      = (*Peers)(nil)
 )
 
-// New returns a Peers that knows only itself.
+// New returns a Peers whose only member is this entry VM. It makes no calls until Run is called.
 func New(cfg Config) (*Peers, error) {
 	if cfg.Self.ID == "" || cfg.Self.Control == "" {
-		return nil, core.ErrPeer.New("the own entry VM needs an id and a control address")
+		return nil, core.ErrPeer.New("this entry VM needs an id and a control address")
 	}
 	if cfg.Transport == nil {
 		return nil, core.ErrPeer.New("no transport")
@@ -145,16 +147,16 @@
 	p := &Peers{
 		cfg:        cfg,
 		urgent:     make(chan struct{}, 1),
-		probes:     make(chan struct{}, maxProbes),
+		probeSlots: make(chan struct{}, maxProbes),
 		state:      newState(cfg.Self, uint64(time.Now().UnixMilli())),
 		candidates: make(map[string]core.VMID),
 	}
-	p.life, p.end = context.WithCancel(context.Background())
+	p.runCtx, p.cancelRun = context.WithCancel(context.Background())
 	for _, address := range cfg.Seeds {
 		p.addCandidate(address, "")
 	}
 	p.view.Store(&view{})
-	p.refresh()
+	p.publishView()
 	return p, nil
 }
 
@@ -164,7 +166,7 @@
 // Self implements core.Members.
 func (p *Peers) Self() core.VM { return p.cfg.Self }
 
-// Alive implements core.Members. The caller must not change the result.
+// Alive implements core.Members. The caller must not modify the result.
 func (p *Peers) Alive() []core.VM { return p.view.Load().alive }
 
 // Generation implements core.Members.
@@ -173,14 +175,14 @@
 // IsLeaving implements core.Members.
 func (p *Peers) IsLeaving(id core.UpstreamID) bool { return p.view.Load().leaving[id] }
 
-// MarkLeaving implements core.Members. A mark that changes nothing costs nothing.
+// MarkLeaving implements core.Members. It sends nothing if the mark changes nothing.
 func (p *Peers) MarkLeaving(id core.UpstreamID, leaving bool) {
 	if p.mark(Mark{Upstream: id, Source: SourceStatus, Leaving: leaving}) {
 		p.Announce()
 	}
 }
 
-// Announce spreads what is new on this entry VM to a few members at once, instead of with the next
+// Announce makes this entry VM send its pending updates to a few members at once, instead of with the next
 // pings.
 func (p *Peers) Announce() {
 	select {
@@ -189,24 +191,24 @@
 	}
 }
 
-// mark changes a mark and reports whether that is news.
+// mark sets a mark and reports whether that changed anything.
 func (p *Peers) mark(m Mark) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.state.setMark(m) {
 		return false
 	}
-	p.refresh()
+	p.publishView()
 	return true
 }
 
-// Run implements core.Service. At its end it tells other members that this one has left.
+// Run implements core.Service. When ctx ends, it calls Leave, waits for its goroutines and returns nil.
 func (p *Peers) Run(ctx context.Context) error {
 	p.start(func() { p.runList(ctx) })
 	defer p.stop()
 	ticker := time.NewTicker(p.cfg.PingInterval)
 	defer ticker.Stop()
-	c := clockwork{sync: time.Now().Add(p.syncTime())}
+	c := schedule{sync: time.Now().Add(p.syncInterval())}
 	p.tick(ctx, &c)
 	for {
 		select {
@@ -216,13 +218,13 @@
 		case <-ticker.C:
 			p.tick(ctx, &c)
 		case <-p.urgent:
-			p.spread(ctx, fanout)
-			sleep(ctx, urgentSpacing)
+			p.pingRandom(ctx, fanout)
+			sleep(ctx, minUrgentInterval)
 		}
 	}
 }
 
-// start runs f in a goroutine that stop waits for.
+// start runs f in a goroutine that stop waits for. It does nothing after stop.
 func (p *Peers) start(f func()) {
 	p.tasksMu.Lock()
 	defer p.tasksMu.Unlock()
@@ -231,25 +233,25 @@
 	}
 }
 
-// stop ends the goroutines and waits for them.
+// stop cancels the fetches and waits for all goroutines.
 func (p *Peers) stop() {
-	p.end()
+	p.cancelRun()
 	p.tasksMu.Lock()
 	p.stopped = true
 	p.tasksMu.Unlock()
 	p.tasks.Wait()
 }
 
-// clockwork holds when the rare tasks are due.
-type clockwork struct {
+// schedule holds when the less frequent tasks are due.
+type schedule struct {
 	retry time.Time
 	sync  time.Time
-	// seen is the generation of the view at the last tick.
-	seen uint64
+	// seenGeneration is the generation of the view at the last tick.
+	seenGeneration uint64
 }
 
-// tick starts the tasks of one interval.
-func (p *Peers) tick(ctx context.Context, c *clockwork) {
+// tick starts the tasks that are due in this ping interval.
+func (p *Peers) tick(ctx context.Context, c *schedule) {
 	now := time.Now()
 	p.expire(now)
 	alone := p.isAlone()
@@ -257,17 +259,17 @@
 		p.probeNext(ctx)
 	}
 	if alone || !now.Before(c.retry) {
-		c.retry = now.Add(p.cfg.RetryTime)
+		c.retry = now.Add(p.cfg.RetryInterval)
 		p.retry(ctx, alone)
 	}
-	if gen := p.Generation(); gen != c.seen {
-		c.seen = gen
-		if soon := now.Add(p.quickSyncTime()); soon.Before(c.sync) {
+	if gen := p.Generation(); gen != c.seenGeneration {
+		c.seenGeneration = gen
+		if soon := now.Add(p.quickSyncDelay()); soon.Before(c.sync) {
 			c.sync = soon
 		}
 	}
 	if !alone && !now.Before(c.sync) {
-		c.sync = now.Add(p.syncTime())
+		c.sync = now.Add(p.syncInterval())
 		p.syncRandom(ctx)
 	}
 }
@@ -278,31 +280,33 @@
 	return p.state.size() <= 1
 }
 
-// expire turns suspects whose time is over into dead members and forgets old records.
+// expire declares members dead that have been suspect for the suspicion time, and removes old records.
 func (p *Peers) expire(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	dead := p.state.expireSuspects(now, p.suspicionTime())
-	p.state.forget(now.Add(-p.cfg.ForgetTime))
+	dead := p.state.expireSuspects(now, p.suspicionTimeout())
+	p.state.forget(now.Add(-p.cfg.ForgetAfter))
 	for _, id := range dead {
 		level.Info(p.cfg.Logger).Log("Msg", "member is dead", "VM", id)
 	}
 	if len(dead) > 0 {
-		p.refresh()
+		p.publishView()
 	}
 }
 
-// suspicionTime grows with the logarithm of the fleet, since a refutation takes that long to spread.
-func (p *Peers) suspicionTime() time.Duration {
+// suspicionTimeout returns how long a member is suspect before it counts as dead. It grows with the
+// logarithm of the number of members, like the time that a refutation takes to spread.
+func (p *Peers) suspicionTimeout() time.Duration {
 	n := float64(p.state.size() + 1)
 	return time.Duration(suspicionFactor * max(1, math.Log10(n)) * float64(p.cfg.PingInterval))
 }
 
-// Leave tells other members at once that this one is leaving. It keeps answering afterwards.
+// Leave tells other members at once that this one is leaving. Calls of other members are still answered.
+// Only the first call has an effect.
 func (p *Peers) Leave(ctx context.Context) {
 	p.mu.Lock()
-	first := p.state.leave()
-	p.refresh()
+	first := p.state.markLeft()
+	p.publishView()
 	p.mu.Unlock()
 	if !first {
 		return
@@ -310,7 +314,7 @@
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	var calls sync.WaitGroup
-	for _, vm := range p.sample(leaveFanout, "") {
+	for _, vm := range p.randomMembers(leaveFanout, "") {
 		calls.Go(func() { _ = p.ping(ctx, vm) })
 	}
 	calls.Wait()
--- a/core/peers/probe.go
+++ b/core/peers/probe.go
@@ -10,9 +10,9 @@
 	"snipewall/core"
 )
 
-// gossip builds the gossip of the next message.
+// gossip returns the gossip for the next message. The caller holds mu.
 func (p *Peers) gossip() Gossip {
-	updates, marks := p.state.take(time.Now())
+	updates, marks := p.state.nextMessage(time.Now())
 	g := Gossip{Self: p.state.selfUpdate(), Updates: updates, Marks: marks}
 	if p.cfg.Table != nil {
 		g.Table = p.cfg.Table.Version()
@@ -20,13 +20,13 @@
 	return g
 }
 
-// receive merges gossip that the member itself sent.
+// receive merges gossip that was received from the member g.Self.
 func (p *Peers) receive(g Gossip) {
 	now := time.Now()
 	p.mu.Lock()
 	before := p.state.incarnation
 	changed := p.state.apply(g.Self, now)
-	changed = p.state.confirm(g.Self, now) || changed
+	changed = p.state.confirmAlive(g.Self, now) || changed
 	for _, u := range g.Updates {
 		changed = p.state.apply(u, now) || changed
 	}
@@ -34,11 +34,11 @@
 		changed = p.state.applyMark(m, now) || changed
 	}
 	if changed {
-		p.refresh()
+		p.publishView()
 	}
-	isRefuted := p.state.incarnation != before
+	hasRefuted := p.state.incarnation != before
 	p.mu.Unlock()
-	if isRefuted {
+	if hasRefuted {
 		p.Announce()
 	}
 	if g.Self.VM.ID != p.cfg.Self.ID {
@@ -46,13 +46,13 @@
 	}
 }
 
-// ping sends a ping and merges the answer. A member that is not the expected one is an error.
+// ping sends a ping and merges the answer. It returns an error if another member than vm answers.
 func (p *Peers) ping(ctx context.Context, vm core.VM) error {
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.PingTimeout)
 	defer cancel()
 	p.mu.Lock()
 	req := &PingRequest{To: vm.ID, Gossip: p.gossip()}
-	// The member must hear what is said about it, to refute it in its answer.
+	// The member must receive what other members say about it, so that its answer can refute that.
 	req.Updates = append(req.Updates, p.accusations(vm.ID)...)
 	p.mu.Unlock()
 	p.stats.pings.Add(1)
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// accusations returns the record that the member has to refute, if any. The caller holds mu.
+// accusations returns the record that the member must refute, if there is one. The caller holds mu.
 func (p *Peers) accusations(id core.VMID) []Update {
 	m := p.state.members[id]
 	if m == nil || (m.status == StatusAlive && !m.accused) {
@@ -85,53 +85,54 @@
 	return []Update{u}
 }
 
-// probeNext pings the next member in a goroutine.
+// probeNext probes the next member in a new goroutine, unless maxProbes are running.
 func (p *Peers) probeNext(ctx context.Context) {
 	vm, ok := p.nextTarget()
 	if !ok {
 		return
 	}
 	select {
-	case p.probes <- struct{}{}:
+	case p.probeSlots <- struct{}{}:
 	default:
 		return
 	}
 	p.start(func() {
-		defer func() { <-p.probes }()
+		defer func() { <-p.probeSlots }()
 		p.probe(ctx, vm)
 	})
 }
 
-// maxPartners is how many members an entry VM pings in turn. With 32, each member is pinged by about
-// 32 others, and the connections to them stay open from one round to the next. Pinging all members of
-// a large fleet would open a connection for each ping, which costs six times the traffic.
+// maxPartners is the number of members that an entry VM pings in turn. With 32, each member is pinged by
+// about 32 others, and connections stay open from one round to the next. Pinging all members of a large
+// fleet would open a connection for each ping, which needs six times the traffic.
 const maxPartners = 32
 
-// nextTarget returns a member in doubt, or the next partner in a shuffled order, so that each is
-// pinged once per round.
+// nextTarget returns the member to probe next: a doubtful member, or the next partner in a shuffled order,
+// so that each partner is pinged once per round.
 func (p *Peers) nextTarget() (core.VM, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// Every other ping may go to a member in doubt, so that a short pause is over before its time is.
-	p.turn = !p.turn
-	if vm, ok := p.state.doubtful(); ok && p.turn {
+	// At most every other ping goes to a doubtful member. It is pinged early so that it isn't declared
+	// dead after a short pause.
+	p.doubtfulTurn = !p.doubtfulTurn
+	if vm, ok := p.state.priorityTarget(); ok && p.doubtfulTurn {
 		return vm, true
 	}
 	for range 2 {
-		for len(p.order) > 0 {
-			id := p.order[len(p.order)-1]
-			p.order = p.order[:len(p.order)-1]
+		for len(p.pingOrder) > 0 {
+			id := p.pingOrder[len(p.pingOrder)-1]
+			p.pingOrder = p.pingOrder[:len(p.pingOrder)-1]
 			if m := p.state.members[id]; m != nil && m.isAlive() {
 				return m.vm, true
 			}
 		}
-		p.order = p.state.partners(maxPartners)
-		rand.Shuffle(len(p.order), func(i, j int) { p.order[i], p.order[j] = p.order[j], p.order[i] })
+		p.pingOrder = p.state.partners(maxPartners)
+		rand.Shuffle(len(p.pingOrder), func(i, j int) { p.pingOrder[i], p.pingOrder[j] = p.pingOrder[j], p.pingOrder[i] })
 	}
 	return core.VM{}, false
 }
 
-// probe pings a member, directly and then through others, and suspects it if nothing is heard.
+// probe pings a member directly and then through others, and marks it as suspect if it doesn't answer.
 func (p *Peers) probe(ctx context.Context, vm core.VM) {
 	if p.ping(ctx, vm) == nil || ctx.Err() != nil {
 		return
@@ -141,16 +142,16 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.state.suspect(vm.ID, time.Now()) {
+	if p.state.markSuspect(vm.ID, time.Now()) {
 		level.Info(p.cfg.Logger).Log("Msg", "member is suspect", "VM", vm.ID)
 	}
 }
 
-// probeIndirect asks others to ping the member and reports whether it answered one of them.
+// probeIndirect asks other members to ping the member and reports whether it answered one of them.
 func (p *Peers) probeIndirect(ctx context.Context, vm core.VM) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*p.cfg.PingTimeout)
 	defer cancel()
-	ask := p.sample(helpers, vm.ID)
+	ask := p.randomMembers(helpers, vm.ID)
 	answers := make(chan bool, len(ask))
 	for _, helper := range ask {
 		go func() { answers <- p.askHelper(ctx, helper, vm) }()
@@ -165,7 +166,8 @@
 	return answered
 }
 
-// askHelper lets the helper ping the member and merges what that answered.
+// askHelper asks the helper to ping the member, merges the member's record and reports whether it
+// answered.
 func (p *Peers) askHelper(ctx context.Context, helper, vm core.VM) bool {
 	p.stats.probes.Add(1)
 	answer, err := p.cfg.Transport.Probe(ctx, helper.Control, &ProbeRequest{Target: vm})
@@ -175,13 +177,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.state.apply(answer.Self, time.Now()) {
-		p.refresh()
+		p.publishView()
 	}
 	return true
 }
 
-// others returns the other members that count as alive.
-func (p *Peers) others() []core.VM {
+// aliveOthers returns the other members that count as alive.
+func (p *Peers) aliveOthers() []core.VM {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []core.VM
@@ -193,9 +195,9 @@
 	return list
 }
 
-// sample returns up to n random other members that count as alive.
-func (p *Peers) sample(n int, without core.VMID) []core.VM {
-	list := p.others()
+// randomMembers returns up to n random other members that count as alive.
+func (p *Peers) randomMembers(n int, without core.VMID) []core.VM {
+	list := p.aliveOthers()
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	picked := make([]core.VM, 0, n)
 	for _, vm := range list {
@@ -206,9 +208,9 @@
 	return picked
 }
 
-// spread pings a few members at once.
-func (p *Peers) spread(ctx context.Context, n int) {
-	for _, vm := range p.sample(n, "") {
+// pingRandom pings n random members at once.
+func (p *Peers) pingRandom(ctx context.Context, n int) {
+	for _, vm := range p.randomMembers(n, "") {
 		p.start(func() { _ = p.ping(ctx, vm) })
 	}
 }
@@ -231,7 +233,7 @@
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.PingTimeout)
 	defer cancel()
 	if err := p.ping(ctx, req.Target); err != nil {
-		// The failure is an answer to the question, not of the call.
+		// That the target didn't answer is a result, not an error of this call.
 		return &ProbeAnswer{}, nil
 	}
 	p.mu.Lock()
@@ -243,24 +245,25 @@
 	return &ProbeAnswer{Answered: true, Self: m.update(time.Now())}, nil
 }
 
-// retry tries a dead member or a candidate, or several of them as long as no member is known.
+// retry pings a random dead member or candidate, or several of them while this member knows no other.
 func (p *Peers) retry(ctx context.Context, alone bool) {
 	n := 1
 	if alone {
 		n = fanout
 	}
-	for _, vm := range p.missing(n) {
+	for _, vm := range p.retryTargets(n) {
 		p.start(func() {
 			if p.ping(ctx, vm) == nil {
-				// A member that was away, or a new one, has seen other changes than this one.
+				// A new member, or one that was unreachable, has missed changes and has others.
 				p.sync(ctx, vm)
 			}
 		})
 	}
 }
 
-// missing returns up to n random dead members and candidates that are not alive here.
-func (p *Peers) missing(n int) []core.VM {
+// retryTargets returns up to n random dead members and candidates whose address isn't that of a live
+// member.
+func (p *Peers) retryTargets(n int) []core.VM {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := map[string]bool{p.cfg.Self.Control: true}
@@ -285,7 +288,7 @@
 	return list[:min(n, len(list))]
 }
 
-// stats counts calls for the dump. They are written without a lock.
+// stats counts calls for the dump. It needs no lock.
 type stats struct {
 	pings, failures, probes, syncs, fetches counter
 }
--- a/core/peers/queue.go
+++ b/core/peers/queue.go
@@ -6,32 +6,34 @@
 	"slices"
 )
 
-// Limits of what one message carries. The unit is an update without an address, of about 30 bytes.
+// Limits of the size of a message. The unit is an update without addresses, which has about 30 bytes.
 const (
-	// aliveWeight is the size of an update with addresses.
+	// aliveWeight is the size of an update with addresses, as of a live member.
 	aliveWeight = 3
 	minWeight   = 6 * aliveWeight
-	// maxWeight is used while many updates wait, as after a cut. It keeps a message at 0.9 KB. An entry
-	// VM sends and receives 4 messages a second each, so that this is 7 KB/s.
+	// maxWeight is used while many updates are pending, as after a network partition. It limits a message
+	// to 0.9 KB. An entry VM sends 4 messages per second and receives as many, which is 7 KB/s.
 	maxWeight = 10 * aliveWeight
-	// backlogShare is the part of the waiting updates that one message may carry.
-	backlogShare = 2
-	maxMarks     = 6
-	// sendFactor times the logarithm of the fleet is how often an update is sent or heard again.
-	sendFactor = 2
-	minSends   = 12
+	// backlogDivisor divides the number of pending updates to get the size of a message between minWeight
+	// and maxWeight.
+	backlogDivisor = 2
+	maxMarks       = 6
+	// An update is dropped after it was sent or received transmitFactor times the binary logarithm of the
+	// number of members, and at least minTransmits times.
+	transmitFactor = 2
+	minTransmits   = 12
 )
 
-// queue holds the updates that are still to be sent. A newer update about the same subject replaces
-// the older one.
+// queue holds the updates that are still to be sent. A newer update about the same subject replaces the
+// older one.
 type queue struct {
 	updates map[string]*item[Update]
 	marks   map[markKey]*item[Mark]
-	// pushed orders items of the same count, the newest first.
+	// pushed is the number of pushes so far. Of items that were sent equally often, the newest goes first.
 	pushed uint64
 }
 
-// item is something to send and how often it was sent.
+// item is a queued update or mark and how often it was sent.
 type item[T any] struct {
 	value  T
 	sent   int
@@ -47,8 +49,9 @@
 	q.updates[string(u.VM.ID)] = &item[Update]{value: u, pushed: q.pushed}
 }
 
-// heard counts an update that another member sent as well, since its spread needs less help.
-func (q *queue) heard(u Update) {
+// countReceived counts an update that was received from another member like one that was sent, since it
+// has already spread.
+func (q *queue) countReceived(u Update) {
 	it := q.updates[string(u.VM.ID)]
 	if it != nil && it.value.Status == u.Status && it.value.Incarnation == u.Incarnation {
 		it.sent++
@@ -60,10 +63,10 @@
 	q.marks[m.key()] = &item[Mark]{value: m, pushed: q.pushed}
 }
 
-// take returns what the next message to a fleet of the size carries.
-func (q *queue) take(size int) ([]Update, []Mark) {
-	limit := max(minSends, sendFactor*bits.Len(uint(size)))
-	room := min(max(len(q.updates)/backlogShare, minWeight), maxWeight)
+// nextMessage returns the updates and marks for the next message. size is the number of members.
+func (q *queue) nextMessage(size int) ([]Update, []Mark) {
+	limit := max(minTransmits, transmitFactor*bits.Len(uint(size)))
+	room := min(max(len(q.updates)/backlogDivisor, minWeight), maxWeight)
 	return takeItems(q.updates, room, limit, weight), takeItems(q.marks, maxMarks, limit, func(Mark) int { return 1 })
 }
 
@@ -74,8 +77,8 @@
 	return 1
 }
 
-// takeItems picks the items that were sent least, as many as there is room for, and drops those that
-// were sent often enough.
+// takeItems returns the items that were sent least often, as many as fit into room, and removes those that
+// have now been sent limit times.
 func takeItems[K comparable, T any](items map[K]*item[T], room, limit int, weight func(T) int) []T {
 	if len(items) == 0 {
 		return nil
--- a/core/peers/state.go
+++ b/core/peers/state.go
@@ -12,31 +12,33 @@
 	"snipewall/core"
 )
 
-// freshDeath is the age up to which a record of a dead member is taken as a sign that it failed just
-// now. Older ones that contradict the own view come from the other side of a cut that has healed.
-const freshDeath = 30 * time.Second
+// maxFreshDeathAge is the age up to which a record of a dead member means that it failed just now. An
+// older one that contradicts this member's view comes from the other side of a network partition that
+// has healed.
+const maxFreshDeathAge = 30 * time.Second
 
-// hearsayFactor extends the suspicion time of a member that only others found dead, so that a
-// refutation has time to spread when many members are concerned.
-const hearsayFactor = 2
+// reportedDeadFactor extends the suspicion time of a member that only other members declared dead, so that
+// refutations have time to spread when many members are affected.
+const reportedDeadFactor = 2
 
-// maxIncarnation bounds incarnations from the network, so that they can't overflow.
+// maxIncarnation limits incarnations and stamps from the network, so that increments can't overflow.
 const maxIncarnation = 1 << 62
 
-// member is the record of one member other than this one.
+// member is the record of another member.
 type member struct {
 	vm          core.VM
 	status      Status
 	incarnation uint64
 	// since is when the status was adopted here.
 	since time.Time
-	// accused tells that another member believes it is dead, so that it is probed next.
+	// accused is set if an old record says that the member is dead. It is then probed next.
 	accused bool
-	// hearsay tells that the suspicion comes from a fresh record that says dead.
-	hearsay bool
+	// reportedDead is set if the member is suspect because of another member's fresh record that it is
+	// dead.
+	reportedDead bool
 }
 
-// update returns the member's record as it is sent.
+// update returns the member's record as it is sent to other members.
 func (m *member) update(now time.Time) Update {
 	u := Update{VM: m.vm, Status: m.status, Incarnation: m.incarnation}
 	if m.status != StatusAlive {
@@ -59,13 +61,14 @@
 
 func (m Mark) key() markKey { return markKey{upstream: m.Upstream, vm: m.VM, source: m.Source} }
 
-// timedMark is a mark and when it was adopted here.
+// timedMark is a mark and the time when this member adopted it.
 type timedMark struct {
 	Mark
 	since time.Time
 }
 
-// state is the replicated state. The owner serializes access.
+// state is the replicated state: the records of all members and the marks. It is not safe for concurrent
+// use.
 type state struct {
 	self        core.VM
 	incarnation uint64
@@ -85,7 +88,7 @@
 	}
 }
 
-// size is the number of members that count as alive, this one included.
+// size returns the number of members that count as alive, including this one.
 func (s *state) size() int {
 	n := 1
 	for _, m := range s.members {
@@ -96,12 +99,12 @@
 	return n
 }
 
-// maxDoubtful is the number of suspects above which they are not pinged first, since so many at once
-// are the sign of a cut.
-const maxDoubtful = 4
+// maxPrioritySuspects is the number of suspects above which they are not probed first, since so many at
+// once indicate a network partition.
+const maxPrioritySuspects = 4
 
-// doubtful returns an accused member or a suspect, if there is one that should be pinged first.
-func (s *state) doubtful() (core.VM, bool) {
+// priorityTarget returns an accused or suspect member that must be probed first, if there is one.
+func (s *state) priorityTarget() (core.VM, bool) {
 	suspects := 0
 	var vm core.VM
 	for _, m := range s.members {
@@ -113,11 +116,11 @@
 			vm = m.vm
 		}
 	}
-	return vm, suspects > 0 && suspects <= maxDoubtful
+	return vm, suspects > 0 && suspects <= maxPrioritySuspects
 }
 
-// partners returns the n live members with the highest hash of both ids. The choice differs between
-// members like a random one, but stays the same while the fleet does.
+// partners returns the n live members with the highest hash of this member's id and theirs (rendezvous
+// hashing). The choice is different on each member and changes only with the membership.
 func (s *state) partners(n int) []core.VMID {
 	type scored struct {
 		id    core.VMID
@@ -159,11 +162,11 @@
 		return s.add(u, now)
 	}
 	if u.Incarnation < m.incarnation || (u.Incarnation == m.incarnation && u.Status <= m.status) {
-		s.queue.heard(u)
+		s.queue.countReceived(u)
 		return false
 	}
 	if u.Status == StatusDead && m.status == StatusAlive {
-		return s.doubt(m, u, now)
+		return s.handleDeathReport(m, u, now)
 	}
 	if u.Status == StatusAlive {
 		m.vm = u.VM
@@ -175,8 +178,8 @@
 	return true
 }
 
-// refute raises the own incarnation if a record about this member is wrong or comes from an earlier
-// process with the same id.
+// refute increments this member's incarnation if a record of it is wrong or comes from an earlier process
+// with the same id. It reports whether it did.
 func (s *state) refute(u Update) bool {
 	own := s.selfUpdate()
 	isOld := u.Incarnation < own.Incarnation
@@ -189,7 +192,7 @@
 	return true
 }
 
-// add takes up a member that is alive. Others are of no use without an address.
+// add adds a new member if it is alive. Records of other members have no address.
 func (s *state) add(u Update, now time.Time) bool {
 	if u.Status != StatusAlive || u.VM.Control == "" {
 		return false
@@ -199,13 +202,13 @@
 	return true
 }
 
-// doubt handles a record that says that a member is dead, which is alive here and not even suspect.
-// A fresh one makes it suspect. An old one comes from the other side of a cut: the member isn't given
-// up, but the record is passed on until the member refutes it, and it is probed soon.
-func (s *state) doubt(m *member, u Update, now time.Time) bool {
-	if time.Duration(u.Age)*time.Second <= freshDeath {
+// handleDeathReport handles a record that says that a member is dead which is alive in this state. A
+// fresh record makes it suspect. An old record comes from the other side of a network partition: the
+// member stays alive and is probed soon, and the record is passed on until the member refutes it.
+func (s *state) handleDeathReport(m *member, u Update, now time.Time) bool {
+	if time.Duration(u.Age)*time.Second <= maxFreshDeathAge {
 		s.set(m, StatusSuspect, u.Incarnation, now)
-		m.hearsay = true
+		m.reportedDead = true
 		return true
 	}
 	if m.accused {
@@ -220,13 +223,13 @@
 	if m.status != status || m.incarnation != incarnation {
 		m.since = now
 	}
-	m.status, m.incarnation, m.accused, m.hearsay = status, incarnation, false, false
+	m.status, m.incarnation, m.accused, m.reportedDead = status, incarnation, false, false
 	s.queue.push(m.update(now))
 }
 
-// confirm notes that a member answered this one with the incarnation. It clears a suspicion that the
+// confirmAlive handles a record that was received from the member itself. It ends a suspicion that the
 // member has not refuted yet.
-func (s *state) confirm(u Update, now time.Time) bool {
+func (s *state) confirmAlive(u Update, now time.Time) bool {
 	m := s.members[u.VM.ID]
 	if m == nil || u.Status != StatusAlive || u.Incarnation < m.incarnation || m.status == StatusLeft {
 		return false
@@ -236,13 +239,13 @@
 		return false
 	}
 	m.status, m.since = StatusAlive, now
-	// The member hears of the suspicion from its pings and refutes it itself.
+	// The member learns of the suspicion from other pings and refutes it itself.
 	delete(s.queue.updates, string(u.VM.ID))
 	return true
 }
 
-// suspect notes that a member didn't answer.
-func (s *state) suspect(id core.VMID, now time.Time) bool {
+// markSuspect makes a member suspect that didn't answer, and reports whether it was alive.
+func (s *state) markSuspect(id core.VMID, now time.Time) bool {
 	m := s.members[id]
 	if m == nil || m.status != StatusAlive {
 		return false
@@ -251,13 +254,13 @@
 	return true
 }
 
-// expireSuspects returns the members that are dead now.
+// expireSuspects declares members dead that have been suspect for the limit, and returns their ids.
 func (s *state) expireSuspects(now time.Time, limit time.Duration) []core.VMID {
 	var dead []core.VMID
 	for id, m := range s.members {
 		wait := limit
-		if m.hearsay {
-			wait *= hearsayFactor
+		if m.reportedDead {
+			wait *= reportedDeadFactor
 		}
 		if m.status == StatusSuspect && now.Sub(m.since) >= wait {
 			s.set(m, StatusDead, m.incarnation, now)
@@ -267,8 +270,8 @@
 	return dead
 }
 
-// forget drops records of members that have been away, and marks that have been withdrawn, since
-// before the time.
+// forget removes records of members that have been dead or left since before the time, and marks that were
+// withdrawn or whose VM is unknown since before the time.
 func (s *state) forget(before time.Time) {
 	for id, m := range s.members {
 		if !m.isAlive() && m.since.Before(before) {
@@ -284,8 +287,8 @@
 	}
 }
 
-// leave marks this member as left and returns false if it was already.
-func (s *state) leave() bool {
+// markLeft marks this member as left. It returns false if it was already.
+func (s *state) markLeft() bool {
 	if s.left {
 		return false
 	}
@@ -294,7 +297,7 @@
 	return true
 }
 
-// setMark changes a mark and reports whether that is news.
+// setMark sets a mark with the next stamp and reports whether that changed anything.
 func (s *state) setMark(m Mark) bool {
 	old, known := s.marks[m.key()]
 	if old.Leaving == m.Leaving {
@@ -321,12 +324,13 @@
 	return true
 }
 
-// digest sums up what two members should agree on.
+// digest returns a hash of the state that two members should have in common: the live members with their
+// incarnations, and the marks of what is leaving.
 func (s *state) digest() uint64 {
 	var sum uint64
 	add := func(kind byte, id string, n uint64) {
 		b := append(binary.BigEndian.AppendUint64([]byte{kind}, n), id...)
-		// Adding makes the digest independent of the order.
+		// A sum doesn't depend on the order of the maps.
 		sum += xxhash.Sum64(b)
 	}
 	if !s.left {
@@ -345,8 +349,8 @@
 	return sum
 }
 
-// full returns all records and marks, sorted.
-func (s *state) full(now time.Time) ([]Update, []Mark) {
+// fullState returns the records of all other members, sorted by id, and all marks.
+func (s *state) fullState(now time.Time) ([]Update, []Mark) {
 	updates := make([]Update, 0, len(s.members))
 	for _, m := range s.members {
 		updates = append(updates, m.update(now))
@@ -359,9 +363,9 @@
 	return updates, marks
 }
 
-// take returns what the next message carries, with ages as they are now.
-func (s *state) take(now time.Time) ([]Update, []Mark) {
-	updates, marks := s.queue.take(s.size())
+// nextMessage returns the updates and marks for the next message, with the current ages of dead members.
+func (s *state) nextMessage(now time.Time) ([]Update, []Mark) {
+	updates, marks := s.queue.nextMessage(s.size())
 	for i, u := range updates {
 		if m := s.members[u.VM.ID]; m != nil && u.Status == StatusDead && m.status == StatusDead {
 			updates[i] = m.update(now)
@@ -370,14 +374,14 @@
 	return updates, marks
 }
 
-// news returns the records and marks that the sender of the given ones lacks.
-func (s *state) news(from Gossip, now time.Time) ([]Update, []Mark) {
+// missingFrom returns the records and marks that the sender of the given full state lacks.
+func (s *state) missingFrom(from Gossip, now time.Time) ([]Update, []Mark) {
 	theirs := make(map[core.VMID]Update, len(from.Updates)+1)
 	for _, u := range from.Updates {
 		theirs[u.VM.ID] = u
 	}
 	theirs[from.Self.VM.ID] = from.Self
-	updates, marks := s.full(now)
+	updates, marks := s.fullState(now)
 	updates = slices.DeleteFunc(updates, func(u Update) bool {
 		t, ok := theirs[u.VM.ID]
 		if !ok {
@@ -393,15 +397,15 @@
 	return updates, marks
 }
 
-// view is what core.Members shows. It doesn't change.
+// view is the immutable state behind the methods of core.Members.
 type view struct {
 	generation uint64
 	alive      []core.VM
 	leaving    map[core.UpstreamID]bool
 }
 
-// refresh computes the view anew. The caller holds mu.
-func (p *Peers) refresh() {
+// publishView publishes a new view if the state has changed it. The caller holds mu.
+func (p *Peers) publishView() {
 	old := p.view.Load()
 	next := p.state.view()
 	if slices.Equal(old.alive, next.alive) && maps.Equal(old.leaving, next.leaving) {
--- a/core/peers/state_test.go
+++ b/core/peers/state_test.go
@@ -11,8 +11,8 @@
 	"snipewall/core"
 )
 
-// Guards against members that keep different views, or a live member that stays dead, after any
-// interleaving of suspicions, deaths, marks, stops and lost messages.
+// Guards against members whose views stay different, and against a live member that stays dead, after any
+// sequence of suspicions, deaths, marks, stops and lost messages.
 func TestStatesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -27,30 +27,30 @@
 			a, b := states[pick.Draw(t, "a")], states[pick.Draw(t, "b")]
 			switch rapid.SampledFrom([]string{"tell", "tell", "sync", "suspect", "expire", "mark", "leave"}).Draw(t, "step") {
 			case "tell":
-				updates, marks := a.take(now)
+				updates, marks := a.nextMessage(now)
 				receiveAll(b, append(updates, a.selfUpdate()), marks, now)
 			case "sync":
-				updates, marks := a.full(now)
+				updates, marks := a.fullState(now)
 				receiveAll(b, append(updates, a.selfUpdate()), marks, now)
 			case "suspect":
-				a.suspect(b.self.ID, now)
+				a.markSuspect(b.self.ID, now)
 			case "expire":
 				a.expireSuspects(now, 5*time.Second)
 			case "mark":
 				a.setMark(Mark{Upstream: "ledger-1", Leaving: rapid.Bool().Draw(t, "leaving")})
 			case "leave":
 				if rapid.IntRange(0, 9).Draw(t, "rare") == 0 {
-					a.leave()
+					a.markLeft()
 				}
 			}
 		}
-		// The cuts heal: all exchange what the others lack, as Sync does, a few times.
+		// Messages are no longer lost: all members sync with each other a few times.
 		for range 4 * len(states) {
 			for _, a := range states {
 				for _, b := range states {
-					updates, marks := a.full(now)
+					updates, marks := a.fullState(now)
 					g := Gossip{Self: a.selfUpdate(), Updates: updates, Marks: marks}
-					back, backMarks := b.news(g, now)
+					back, backMarks := b.missingFrom(g, now)
 					receiveAll(b, append(updates, a.selfUpdate()), marks, now)
 					receiveAll(a, append(back, b.selfUpdate()), backMarks, now)
 				}
@@ -79,7 +79,7 @@
 	}
 }
 
-// Guards against records from the network that overflow counters or have no subject.
+// Guards against records from the network that overflow counters or lack their subject.
 func TestStateIgnoresBrokenRecords(t *testing.T) {
 	s := newState(core.VM{ID: "a", Control: "a"}, 1)
 	now := time.Now()
--- a/core/peers/sync.go
+++ b/core/peers/sync.go
@@ -8,27 +8,27 @@
 	"snipewall/core"
 )
 
-// syncTime returns the time until the next comparison of digests.
-func (p *Peers) syncTime() time.Duration {
-	d := max(minSyncTime, syncStep*time.Duration(len(p.Alive())))
+// syncInterval returns a random time until the next comparison of digests.
+func (p *Peers) syncInterval() time.Duration {
+	d := max(minSyncInterval, syncIntervalPerMember*time.Duration(len(p.Alive())))
 	return d/2 + rand.N(d)
 }
 
-// quickSyncTime returns the time from a change of the own view until the next comparison.
-func (p *Peers) quickSyncTime() time.Duration {
-	d := max(minQuickSync, quickSyncStep*time.Duration(len(p.Alive())))
+// quickSyncDelay returns a random time from a change of the view until an additional comparison.
+func (p *Peers) quickSyncDelay() time.Duration {
+	d := max(minQuickSyncDelay, quickSyncDelayPerMember*time.Duration(len(p.Alive())))
 	return d/2 + rand.N(d)
 }
 
-// syncRandom compares digests with one random member in a goroutine.
+// syncRandom compares digests with one random member in a new goroutine.
 func (p *Peers) syncRandom(ctx context.Context) {
-	for _, vm := range p.sample(1, "") {
+	for _, vm := range p.randomMembers(1, "") {
 		p.start(func() { p.sync(ctx, vm) })
 	}
 }
 
-// sync compares states with the member. If they differ, it merges the other state and sends back
-// what that one lacks.
+// sync compares digests with the member. If they differ, it merges the member's state and sends back what
+// the member lacks.
 func (p *Peers) sync(ctx context.Context, vm core.VM) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -42,14 +42,14 @@
 	}
 	p.mu.Lock()
 	push := &SyncRequest{Push: true, Gossip: Gossip{Self: p.state.selfUpdate()}}
-	push.Updates, push.Marks = p.state.news(answer.Gossip, time.Now())
+	push.Updates, push.Marks = p.state.missingFrom(answer.Gossip, time.Now())
 	p.mu.Unlock()
 	p.receive(answer.Gossip)
 	if len(push.Updates) == 0 && len(push.Marks) == 0 {
 		return
 	}
 	p.stats.syncs.Add(1)
-	// The other side repeats the comparison in time if this call fails.
+	// If this call fails, a later comparison finds the difference again.
 	_, _ = p.cfg.Transport.Sync(ctx, vm.Control, push)
 }
 
@@ -64,7 +64,7 @@
 	}
 	answer.Same = req.Push || req.Digest == p.state.digest()
 	if !answer.Same {
-		answer.Updates, answer.Marks = p.state.full(time.Now())
+		answer.Updates, answer.Marks = p.state.fullState(time.Now())
 	}
 	return answer, nil
 }
