--- a/core/elect/elect_test.go
+++ b/core/elect/elect_test.go
@@ -113,7 +113,7 @@
 
 // Guards against a newly created group that gets no primary without an operator.
 func TestNewGroupGetsPrimary(t *testing.T) {
-	start(t, fakes.GroupConfig{Blank: true}, func(r *harness) {
+	start(t, fakes.GroupConfig{NoPrimary: true}, func(r *harness) {
 		_, term := r.primary(t)
 		assert.Equal(t, term, core.Term(1))
 	})
--- a/core/fakes/doc.go
+++ b/core/fakes/doc.go
@@ -1,13 +1,15 @@
-// Package fakes provides an in-memory database group and an in-memory platform store for tests that
-// run on the clock of testing/synctest. The group implements terms, a log, asynchronous replication
-// and the faults of the fault matrix; it delivers messages between named places with a one-way delay.
+// Package fakes provides an in-memory database group and an in-memory platform store for tests in a
+// testing/synctest bubble. The group implements terms, a log, asynchronous replication and the faults of
+// the fault matrix. It delivers messages with a one-way delay between endpoints, which are the upstreams
+// and sites; a site is the name of an entry VM.
 //
 // # Faults
 //
-// Kill refuses connections. Cut loses messages in one direction between two places, Isolate in both
-// directions between an upstream and all others. Freeze stops an upstream's process: messages that
-// arrive wait until Thaw and take effect then, even if their caller has given up. Slow multiplies its
-// processing time. FaultAnswers loses or delays the answers of one kind of call after the effect.
+// After Kill, an upstream refuses connections. Cut drops messages in one direction between two
+// endpoints, Isolate in both directions between an upstream and all other endpoints. Freeze stops an
+// upstream's process: arriving messages are queued until Thaw and take effect then, even if their caller
+// no longer waits. Slow multiplies an upstream's processing time. SetAnswerFault drops or delays the
+// answers of one kind of call, after the call has taken effect.
 //
 // # Usage
 //
--- a/core/fakes/fault.go
+++ b/core/fakes/fault.go
@@ -6,7 +6,7 @@
 	"snipewall/core"
 )
 
-// AnswerFault is what happens to an answer after the call took effect.
+// AnswerFault is a fault of an answer, after the call has taken effect.
 type AnswerFault struct {
 	// Lost drops the answer.
 	Lost bool
@@ -21,15 +21,15 @@
 	only core.UpstreamID
 }
 
-// Kill stops the upstream's process. Its log survives until Start.
-func (g *Group) Kill(id core.UpstreamID) { g.with(id, func(n *node) { n.down = true }) }
+// Kill stops the upstream's process. Its log and term are kept.
+func (g *Group) Kill(id core.UpstreamID) { g.update(id, func(n *node) { n.down = true }) }
 
-// Start starts the upstream's process again. A former primary still takes itself for the primary.
+// Start restarts the upstream's process. An upstream that was the primary starts as primary.
 func (g *Group) Start(id core.UpstreamID) {
-	g.with(id, func(n *node) { n.down = false })
+	g.update(id, func(n *node) { n.down = false })
 }
 
-// SetDown kills or starts the upstream.
+// SetDown calls Kill or Start.
 func (g *Group) SetDown(id core.UpstreamID, down bool) {
 	if down {
 		g.Kill(id)
@@ -38,7 +38,7 @@
 	g.Start(id)
 }
 
-// SetFrozen freezes or thaws the upstream.
+// SetFrozen calls Freeze or Thaw.
 func (g *Group) SetFrozen(id core.UpstreamID, frozen bool) {
 	if frozen {
 		g.Freeze(id)
@@ -47,18 +47,18 @@
 	g.Thaw(id)
 }
 
-// Freeze stops the upstream's process until Thaw.
+// Freeze suspends the upstream's process until Thaw.
 func (g *Group) Freeze(id core.UpstreamID) {
-	g.with(id, func(n *node) {
+	g.update(id, func(n *node) {
 		if n.thawed == nil {
 			n.thawed = make(chan struct{})
 		}
 	})
 }
 
-// Thaw lets a frozen upstream go on.
+// Thaw resumes a frozen upstream.
 func (g *Group) Thaw(id core.UpstreamID) {
-	g.with(id, func(n *node) {
+	g.update(id, func(n *node) {
 		if n.thawed != nil {
 			close(n.thawed)
 			n.thawed = nil
@@ -67,49 +67,52 @@
 }
 
 // Slow multiplies the processing time of the upstream; 1 is normal.
-func (g *Group) Slow(id core.UpstreamID, factor int) { g.with(id, func(n *node) { n.slow = factor }) }
+func (g *Group) Slow(id core.UpstreamID, factor int) {
+	g.update(id, func(n *node) { n.slowFactor = factor })
+}
 
 // SetLeaving sets the leaving mark in the upstream's status.
 func (g *Group) SetLeaving(id core.UpstreamID, leaving bool) {
-	g.with(id, func(n *node) { n.leaving = leaving })
+	g.update(id, func(n *node) { n.leaving = leaving })
 }
 
-// Cut loses, or no longer loses, the messages from one place to another.
+// Cut drops all messages from one endpoint to another, or no longer does.
 func (g *Group) Cut(from, to string, cut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.cuts[route{from, to}] = cut
+	g.cuts[direction{from, to}] = cut
 }
 
-// Isolate cuts, or heals, all routes between the upstream and the other upstreams and the sites.
+// Isolate cuts, or restores, the connections between the upstream and all other upstreams and the sites.
 func (g *Group) Isolate(id core.UpstreamID, cut bool, sites ...string) {
-	for _, place := range g.others(id, sites) {
-		g.Cut(place, string(id), cut)
-		g.Cut(string(id), place, cut)
+	for _, endpoint := range g.otherEndpoints(id, sites) {
+		g.Cut(endpoint, string(id), cut)
+		g.Cut(string(id), endpoint, cut)
 	}
 }
 
-// Mute cuts, or heals, all routes from the upstream: it hears the others but isn't heard.
-func (g *Group) Mute(id core.UpstreamID, cut bool, sites ...string) {
-	for _, place := range g.others(id, sites) {
-		g.Cut(string(id), place, cut)
+// CutOutgoing drops, or no longer drops, all messages from the upstream. Messages to it are still
+// delivered.
+func (g *Group) CutOutgoing(id core.UpstreamID, cut bool, sites ...string) {
+	for _, endpoint := range g.otherEndpoints(id, sites) {
+		g.Cut(string(id), endpoint, cut)
 	}
 }
 
-// others returns the places other than the upstream.
-func (g *Group) others(id core.UpstreamID, sites []string) []string {
-	var places []string
+// otherEndpoints returns the other upstreams and the sites.
+func (g *Group) otherEndpoints(id core.UpstreamID, sites []string) []string {
+	var endpoints []string
 	for _, other := range g.IDs() {
 		if other != id {
-			places = append(places, string(other))
+			endpoints = append(endpoints, string(other))
 		}
 	}
-	return append(places, sites...)
+	return append(endpoints, sites...)
 }
 
-// FaultAnswers applies the fault to the next count answers of the kind, from one upstream or from
-// all if only is empty.
-func (g *Group) FaultAnswers(c Call, only core.UpstreamID, count int, f AnswerFault) {
+// SetAnswerFault applies the fault to the next count answers to calls of the kind. If only isn't empty, it
+// applies to that upstream only.
+func (g *Group) SetAnswerFault(c Call, only core.UpstreamID, count int, f AnswerFault) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.answers[c] = &answerFault{fault: f, count: count, only: only}
@@ -124,7 +127,7 @@
 	return f.fault
 }
 
-// Heal ends all faults: it starts, thaws and connects everything.
+// Heal ends all faults of the group.
 func (g *Group) Heal() {
 	for _, id := range g.IDs() {
 		g.Start(id)
@@ -137,13 +140,13 @@
 	clear(g.answers)
 }
 
-func (g *Group) with(id core.UpstreamID, f func(n *node)) {
+func (g *Group) update(id core.UpstreamID, f func(n *node)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f(g.node(id))
 }
 
-func (g *Group) isCut(r route) bool {
+func (g *Group) isCut(r direction) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.cuts[r]
@@ -155,10 +158,10 @@
 	return n.down
 }
 
-func (g *Group) processing(n *node) time.Duration {
+func (g *Group) processingTime(n *node) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.cfg.Processing * time.Duration(n.slow)
+	return g.cfg.Processing * time.Duration(n.slowFactor)
 }
 
 // awaitThaw waits while the node is frozen and reports whether the group is still open.
@@ -178,33 +181,34 @@
 	}
 }
 
-// Connected reports whether a majority of the upstreams work, exchange messages in both directions
-// with each other, and do so with one of the sites.
-func (g *Group) Connected(sites []string) bool {
+// HasConnectedMajority reports whether a majority of the upstreams is running and connected, in both
+// directions, with each other and with one of the sites.
+func (g *Group) HasConnectedMajority(sites []string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, site := range sites {
 		var working []string
 		for _, n := range g.nodes {
 			id := string(n.info.ID)
-			if !n.down && n.thawed == nil && g.linkedLocked(site, id) {
+			if !n.down && n.thawed == nil && g.isLinkedLocked(site, id) {
 				working = append(working, id)
 			}
 		}
-		if g.clusterLocked(working) > len(g.nodes)/2 {
+		if g.largestClusterLocked(working) > len(g.nodes)/2 {
 			return true
 		}
 	}
 	return false
 }
 
-// clusterLocked returns the size of the largest set of upstreams that are all linked with one of them.
-func (g *Group) clusterLocked(ids []string) int {
+// largestClusterLocked returns the size of the largest set of upstreams in which one is linked with all
+// others.
+func (g *Group) largestClusterLocked(ids []string) int {
 	largest := 0
 	for _, a := range ids {
 		n := 0
 		for _, b := range ids {
-			if a == b || g.linkedLocked(a, b) {
+			if a == b || g.isLinkedLocked(a, b) {
 				n++
 			}
 		}
@@ -213,6 +217,6 @@
 	return largest
 }
 
-func (g *Group) linkedLocked(a, b string) bool {
-	return !g.cuts[route{a, b}] && !g.cuts[route{b, a}]
+func (g *Group) isLinkedLocked(a, b string) bool {
+	return !g.cuts[direction{a, b}] && !g.cuts[direction{b, a}]
 }
--- a/core/fakes/group.go
+++ b/core/fakes/group.go
@@ -8,33 +8,34 @@
 	"snipewall/core"
 )
 
-// GroupConfig constructs a Group.
+// GroupConfig configures a Group.
 type GroupConfig struct {
 	Group core.GroupID
-	// Size is the number of upstreams, named u1, u2 and so on.
+	// Size is the number of upstreams. Their ids are u1, u2 and so on.
 	Size int
-	// Delay is the one-way delay between any two places.
+	// Delay is the one-way delay between any two endpoints.
 	Delay time.Duration
-	// Lag is the time that replication takes in addition to Delay.
+	// Lag is the replication lag in addition to Delay.
 	Lag time.Duration
-	// Heartbeat is the time between messages of a primary to its replicas when there are no writes.
+	// Heartbeat is the interval at which a primary sends its log to its replicas, besides each write. The
+	// default is 20 ms.
 	Heartbeat time.Duration
 	// Processing is the time that an upstream takes for one call.
 	Processing time.Duration
-	// Blank starts the group without a primary. Otherwise u1 is primary of term 1.
-	Blank bool
-	// AnyTerm lets upstreams accept terms that they must refuse, to show that checks notice.
-	AnyTerm bool
+	// NoPrimary starts the group without a primary. Otherwise u1 is the primary of term 1.
+	NoPrimary bool
+	// AcceptAnyTerm makes upstreams accept terms that they must refuse, for tests of the checkers.
+	AcceptAnyTerm bool
 }
 
-// Entry is one entry of a log. The first entry of a term has no key.
+// Entry is an entry of a log. The first entry of a term has no key.
 type Entry struct {
 	Term  core.Term
 	Key   string
 	Value int
 }
 
-// Group is a database group in memory.
+// Group is an in-memory database group. It is safe for concurrent use.
 type Group struct {
 	cfg    GroupConfig
 	closed chan struct{}
@@ -42,52 +43,52 @@
 
 	mu      sync.Mutex
 	nodes   []*node
-	cuts    map[route]bool
+	cuts    map[direction]bool
 	answers map[Call]*answerFault
-	// reigns records each promotion, for the check that a term has one primary.
-	reigns map[core.Term]map[core.UpstreamID]bool
+	// primaries records the primaries of each term.
+	primaries map[core.Term]map[core.UpstreamID]bool
 }
 
-// route is a direction between two places: names of upstreams or of sites.
-type route struct{ from, to string }
+// direction is one direction of the connection between two endpoints.
+type direction struct{ from, to string }
 
 // node is one upstream of the group.
 type node struct {
 	info     core.UpstreamInfo
 	role     core.Role
 	promised core.Term
-	// reign is the term in which the node is or was primary.
-	reign     core.Term
-	log       []Entry
-	applied   int
-	following core.UpstreamID
-	heard     bool
-	heardAt   time.Time
-	down      bool
-	leaving   bool
-	thawed    chan struct{}
-	slow      int
+	// primaryTerm is the last term in which the node was primary.
+	primaryTerm core.Term
+	log         []Entry
+	applied     int
+	following   core.UpstreamID
+	heard       bool
+	heardAt     time.Time
+	down        bool
+	leaving     bool
+	thawed      chan struct{}
+	slowFactor  int
 }
 
-// NewGroup starts a group. Close ends it.
+// NewGroup starts a group. It must be closed.
 func NewGroup(cfg GroupConfig) *Group {
 	if cfg.Heartbeat <= 0 {
 		cfg.Heartbeat = 20 * time.Millisecond
 	}
 	g := &Group{
-		cfg:     cfg,
-		closed:  make(chan struct{}),
-		cuts:    make(map[route]bool),
-		answers: make(map[Call]*answerFault),
-		reigns:  make(map[core.Term]map[core.UpstreamID]bool),
+		cfg:       cfg,
+		closed:    make(chan struct{}),
+		cuts:      make(map[direction]bool),
+		answers:   make(map[Call]*answerFault),
+		primaries: make(map[core.Term]map[core.UpstreamID]bool),
 	}
 	for i := range cfg.Size {
 		id := core.UpstreamID(fmt.Sprintf("u%d", i+1))
 		info := core.UpstreamInfo{ID: id, Group: cfg.Group, Address: string(id) + ":5432"}
-		g.nodes = append(g.nodes, &node{info: info, slow: 1, role: core.RoleReplica})
+		g.nodes = append(g.nodes, &node{info: info, slowFactor: 1, role: core.RoleReplica})
 	}
-	if !cfg.Blank {
-		g.start()
+	if !cfg.NoPrimary {
+		g.startPrimary()
 	}
 	for _, n := range g.nodes {
 		g.wg.Add(1)
@@ -96,8 +97,8 @@
 	return g
 }
 
-// start makes u1 the primary of term 1 and the others its replicas.
-func (g *Group) start() {
+// startPrimary makes u1 the primary of term 1 and the others its replicas.
+func (g *Group) startPrimary() {
 	first := g.nodes[0]
 	for _, n := range g.nodes {
 		n.promised = 1
@@ -108,31 +109,31 @@
 		n.heardAt = time.Now()
 	}
 	first.role = core.RolePrimary
-	first.reign = 1
+	first.primaryTerm = 1
 	first.following = ""
-	g.noteReign(first)
+	g.recordPrimary(first)
 }
 
-// Close ends all messages in flight and waits for the group's goroutines.
+// Close drops all messages in flight and waits for the group's goroutines.
 func (g *Group) Close() {
 	close(g.closed)
 	g.wg.Wait()
 }
 
-// noteReign records that the node is primary of its term.
-func (g *Group) noteReign(n *node) {
-	if g.reigns[n.reign] == nil {
-		g.reigns[n.reign] = make(map[core.UpstreamID]bool)
+// recordPrimary records the node as primary of its term.
+func (g *Group) recordPrimary(n *node) {
+	if g.primaries[n.primaryTerm] == nil {
+		g.primaries[n.primaryTerm] = make(map[core.UpstreamID]bool)
 	}
-	g.reigns[n.reign][n.info.ID] = true
+	g.primaries[n.primaryTerm][n.info.ID] = true
 }
 
-// Reigns returns the upstreams that were primary, by term.
-func (g *Group) Reigns() map[core.Term][]core.UpstreamID {
+// PrimariesByTerm returns the upstreams that were primary in each term.
+func (g *Group) PrimariesByTerm() map[core.Term][]core.UpstreamID {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	reigns := make(map[core.Term][]core.UpstreamID, len(g.reigns))
-	for t, ids := range g.reigns {
+	reigns := make(map[core.Term][]core.UpstreamID, len(g.primaries))
+	for t, ids := range g.primaries {
 		for id := range ids {
 			reigns[t] = append(reigns[t], id)
 		}
@@ -140,21 +141,21 @@
 	return reigns
 }
 
-// Log returns the upstream's log.
+// Log returns a copy of the upstream's log.
 func (g *Group) Log(id core.UpstreamID) []Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]Entry(nil), g.node(id).log...)
 }
 
-// State returns the upstream's status without a message.
+// State returns the upstream's current status without sending a message.
 func (g *Group) State(id core.UpstreamID) core.UpstreamStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.node(id).status()
 }
 
-// IDs returns the names of the upstreams.
+// IDs returns the ids of the upstreams.
 func (g *Group) IDs() []core.UpstreamID {
 	ids := make([]core.UpstreamID, len(g.nodes))
 	for i, n := range g.nodes {
@@ -180,7 +181,7 @@
 	return core.Position{Term: log[n-1].Term, Offset: core.Offset(n)}
 }
 
-// status must be called with the group locked.
+// status returns the node's status. The caller holds the group's mu.
 func (n *node) status() core.UpstreamStatus {
 	s := core.UpstreamStatus{
 		Role: n.role, Promised: n.promised, Log: position(n.log, len(n.log)),
--- a/core/fakes/remote.go
+++ b/core/fakes/remote.go
@@ -25,14 +25,14 @@
 
 // Errors of the fake upstreams.
 var (
-	// ErrTerm says that the upstream has promised a term that doesn't allow the call.
+	// ErrTerm means that the upstream's promised term doesn't allow the call.
 	ErrTerm = errors.New("term refused")
-	// ErrReadOnly says that the upstream takes no writes; nothing was written.
+	// ErrReadOnly means that the upstream accepts no writes. Nothing was written.
 	ErrReadOnly = errors.New("upstream is read-only")
 	errNoDial   = errors.New("the fake group takes no connections")
 )
 
-// Remote is an upstream as a site sees it. It implements core.Upstream.
+// Remote is a site's connection to an upstream. It implements core.Upstream.
 type Remote struct {
 	group *Group
 	node  *node
@@ -41,7 +41,7 @@
 
 var _ core.Upstream = (*Remote)(nil)
 
-// View returns the upstreams as the site sees them.
+// View returns the site's connections to all upstreams.
 func (g *Group) View(site string) []core.Upstream {
 	view := make([]core.Upstream, len(g.nodes))
 	for i, n := range g.nodes {
@@ -50,7 +50,7 @@
 	return view
 }
 
-// Remote returns one upstream as the site sees it.
+// Remote returns the site's connection to one upstream.
 func (g *Group) Remote(site string, id core.UpstreamID) *Remote {
 	return &Remote{group: g, node: g.node(id), site: site}
 }
@@ -79,34 +79,34 @@
 	}
 }
 
-// serve carries the message to the upstream, lets it take effect and carries the answer back.
+// serve delivers the message to the upstream, applies its effect and sends the answer.
 func (r *Remote) serve(c Call, effect func(n *node) reply, answer chan<- reply) {
 	g := r.group
-	there := route{r.site, string(r.node.info.ID)}
-	back := route{there.to, there.from}
-	if !g.sleep(g.cfg.Delay) || g.isCut(there) || !g.awaitThaw(r.node) {
+	request := direction{r.site, string(r.node.info.ID)}
+	response := direction{request.to, request.from}
+	if !g.sleep(g.cfg.Delay) || g.isCut(request) || !g.awaitThaw(r.node) {
 		return
 	}
 	if g.isDown(r.node) {
-		if g.sleep(g.cfg.Delay) && !g.isCut(back) {
+		if g.sleep(g.cfg.Delay) && !g.isCut(response) {
 			answer <- reply{err: fmt.Errorf("dial %s: %w", r.node.info.Address, syscall.ECONNREFUSED)}
 		}
 		return
 	}
-	if !g.sleep(g.processing(r.node)) || !g.awaitThaw(r.node) || g.isDown(r.node) {
+	if !g.sleep(g.processingTime(r.node)) || !g.awaitThaw(r.node) || g.isDown(r.node) {
 		return
 	}
 	g.mu.Lock()
 	a := effect(r.node)
 	fault := g.takeAnswerFaultLocked(c, r.node.info.ID)
 	g.mu.Unlock()
-	if fault.Lost || !g.sleep(fault.Late) || !g.sleep(g.cfg.Delay) || g.isCut(back) {
+	if fault.Lost || !g.sleep(fault.Late) || !g.sleep(g.cfg.Delay) || g.isCut(response) {
 		return
 	}
 	answer <- a
 }
 
-// sleep waits and reports whether the group is still open.
+// sleep waits for d and reports whether the group is still open.
 func (g *Group) sleep(d time.Duration) bool {
 	if d > 0 {
 		time.Sleep(d)
@@ -122,7 +122,7 @@
 // Info implements core.Upstream.
 func (r *Remote) Info() core.UpstreamInfo { return r.node.info }
 
-// Dial implements core.Upstream. The fake takes no connections; use Write and Read.
+// Dial implements core.Upstream. It always fails; use Write and ReadAt instead.
 func (r *Remote) Dial(context.Context) (core.Conn, error) { return nil, errNoDial }
 
 // Status implements core.Upstream.
@@ -134,7 +134,7 @@
 // Prepare implements core.Upstream. A primary of a lower term steps down.
 func (r *Remote) Prepare(ctx context.Context, term core.Term) (core.UpstreamStatus, error) {
 	a, err := r.call(ctx, CallPrepare, func(n *node) reply {
-		if term <= n.promised && !r.group.cfg.AnyTerm {
+		if term <= n.promised && !r.group.cfg.AcceptAnyTerm {
 			return reply{err: fmt.Errorf("prepare %d after %d: %w", term, n.promised, ErrTerm)}
 		}
 		n.promised = term
@@ -148,16 +148,16 @@
 // Promote implements core.Upstream.
 func (r *Remote) Promote(ctx context.Context, term core.Term) (core.UpstreamStatus, error) {
 	a, err := r.call(ctx, CallPromote, func(n *node) reply {
-		if n.promised != term && !r.group.cfg.AnyTerm {
+		if n.promised != term && !r.group.cfg.AcceptAnyTerm {
 			return reply{err: fmt.Errorf("promote %d after %d: %w", term, n.promised, ErrTerm)}
 		}
-		if n.role != core.RolePrimary || n.reign != term {
+		if n.role != core.RolePrimary || n.primaryTerm != term {
 			n.role = core.RolePrimary
-			n.reign = term
+			n.primaryTerm = term
 			n.following = ""
 			n.log = append(n.log[:len(n.log):len(n.log)], Entry{Term: term})
 			n.applied = len(n.log)
-			r.group.noteReign(n)
+			r.group.recordPrimary(n)
 		}
 		return reply{status: n.status()}
 	})
@@ -167,7 +167,7 @@
 // Follow implements core.Upstream.
 func (r *Remote) Follow(ctx context.Context, term core.Term, primary core.UpstreamInfo) (core.UpstreamStatus, error) {
 	a, err := r.call(ctx, CallFollow, func(n *node) reply {
-		if term < n.promised && !r.group.cfg.AnyTerm {
+		if term < n.promised && !r.group.cfg.AcceptAnyTerm {
 			return reply{err: fmt.Errorf("follow %d after %d: %w", term, n.promised, ErrTerm)}
 		}
 		if n.following != primary.ID || n.promised != term {
@@ -181,22 +181,23 @@
 	return a.status, err
 }
 
-// Write commits a value for the key and returns its unconfirmed position. ErrReadOnly and
-// ECONNREFUSED tell that nothing was written; other errors leave it open.
+// Write commits a value for the key and returns its position, which isn't confirmed yet. After ErrReadOnly
+// and ECONNREFUSED nothing was written; after other errors the outcome is unknown.
 func (r *Remote) Write(ctx context.Context, key string, value int) (core.Position, error) {
 	a, err := r.call(ctx, CallWrite, func(n *node) reply {
-		if n.role != core.RolePrimary || n.promised != n.reign {
+		if n.role != core.RolePrimary || n.promised != n.primaryTerm {
 			return reply{err: ErrReadOnly}
 		}
-		n.log = append(n.log, Entry{Term: n.reign, Key: key, Value: value})
+		n.log = append(n.log, Entry{Term: n.primaryTerm, Key: key, Value: value})
 		n.applied = len(n.log)
-		r.group.shipLocked(n)
+		r.group.replicateLocked(n)
 		return reply{status: n.status()}
 	})
 	return a.status.Log, err
 }
 
-// ReadAt returns the key's value as of the position, which the upstream must have applied.
+// ReadAt returns the key's value as of the position, or 0. It fails if the upstream hasn't applied the
+// position.
 func (r *Remote) ReadAt(ctx context.Context, key string, p core.Position) (int, error) {
 	a, err := r.call(ctx, CallRead, func(n *node) reply {
 		if !position(n.log, n.applied).Covers(p) {
--- a/core/fakes/replicate.go
+++ b/core/fakes/replicate.go
@@ -6,7 +6,7 @@
 	"snipewall/core"
 )
 
-// heartbeat sends the primary's log to its replicas at intervals.
+// heartbeat sends the node's log to its replicas every Heartbeat while it is the primary.
 func (g *Group) heartbeat(n *node) {
 	defer g.wg.Done()
 	ticker := time.NewTicker(g.cfg.Heartbeat)
@@ -18,57 +18,58 @@
 		case <-ticker.C:
 		}
 		g.mu.Lock()
-		g.shipLocked(n)
+		g.replicateLocked(n)
 		g.mu.Unlock()
 	}
 }
 
-// shipLocked sends the log of a reigning primary to all others.
-func (g *Group) shipLocked(n *node) {
-	if n.role != core.RolePrimary || n.promised != n.reign || n.down || n.thawed != nil {
+// replicateLocked sends the node's log to its replicas if it is the primary of its promised term.
+func (g *Group) replicateLocked(n *node) {
+	if n.role != core.RolePrimary || n.promised != n.primaryTerm || n.down || n.thawed != nil {
 		return
 	}
 	log := n.log[:len(n.log):len(n.log)]
-	reign := n.reign
+	term := n.primaryTerm
 	for _, to := range g.nodes {
-		if to.following != n.info.ID || g.cuts[route{string(n.info.ID), string(to.info.ID)}] {
+		if to.following != n.info.ID || g.cuts[direction{string(n.info.ID), string(to.info.ID)}] {
 			continue
 		}
 		if g.cfg.Lag > 0 {
-			time.AfterFunc(g.cfg.Delay, func() { g.hear(n, to, reign) })
+			time.AfterFunc(g.cfg.Delay, func() { g.receiveHeartbeat(n, to, term) })
 		}
-		time.AfterFunc(g.cfg.Delay+g.cfg.Lag, func() { g.receive(n, to, reign, log) })
+		time.AfterFunc(g.cfg.Delay+g.cfg.Lag, func() { g.receiveLog(n, to, term, log) })
 	}
 }
 
-// follows reports whether the message of a primary counts at the replica.
-func (g *Group) followsLocked(n, to *node, reign core.Term) bool {
+// isFollowingLocked reports whether the replica accepts a message that the primary n sent in the term.
+func (g *Group) isFollowingLocked(n, to *node, term core.Term) bool {
 	return !to.down && to.thawed == nil && to.role == core.RoleReplica &&
-		to.following == n.info.ID && to.promised == reign &&
-		!g.cuts[route{string(n.info.ID), string(to.info.ID)}]
+		to.following == n.info.ID && to.promised == term &&
+		!g.cuts[direction{string(n.info.ID), string(to.info.ID)}]
 }
 
-func (g *Group) hear(n, to *node, reign core.Term) {
+func (g *Group) receiveHeartbeat(n, to *node, term core.Term) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.followsLocked(n, to, reign) {
+	if g.isFollowingLocked(n, to, term) {
 		to.heard = true
 		to.heardAt = time.Now()
 	}
 }
 
-// receive replaces the replica's log by the primary's, which extends it or drops its diverging tail.
-func (g *Group) receive(n, to *node, reign core.Term, log []Entry) {
+// receiveLog replaces the replica's log by the primary's, unless that is an older state of the same log.
+// Entries that the primary doesn't have are dropped.
+func (g *Group) receiveLog(n, to *node, term core.Term, log []Entry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.followsLocked(n, to, reign) {
+	if !g.isFollowingLocked(n, to, term) {
 		return
 	}
 	if g.cfg.Lag == 0 {
 		to.heard = true
 		to.heardAt = time.Now()
 	}
-	extends := len(to.log) > 0 && to.log[len(to.log)-1].Term == reign
+	extends := len(to.log) > 0 && to.log[len(to.log)-1].Term == term
 	if extends && len(log) <= len(to.log) {
 		return
 	}
--- a/core/fakes/store.go
+++ b/core/fakes/store.go
@@ -10,19 +10,19 @@
 	"snipewall/core"
 )
 
-// errStoreDown is the store's answer while it is down.
+// errStoreDown is the error of all calls while the store is down.
 var errStoreDown = errors.New("store is down")
 
-// Store is a platform store in memory. It implements core.Store.
+// Store is an in-memory platform store. It implements core.Store and is safe for concurrent use.
 type Store struct {
-	mu      sync.Mutex
-	entries map[string]core.Entry
-	leases  map[core.LeaseID]*time.Timer
-	next    uint64
-	down    bool
-	delay   time.Duration
-	lose    int
-	calls   int
+	mu            sync.Mutex
+	entries       map[string]core.Entry
+	leases        map[core.LeaseID]*time.Timer
+	next          uint64
+	down          bool
+	delay         time.Duration
+	answersToLose int
+	calls         int
 }
 
 var _ core.Store = (*Store)(nil)
@@ -32,38 +32,38 @@
 	return &Store{entries: make(map[string]core.Entry), leases: make(map[core.LeaseID]*time.Timer)}
 }
 
-// SetDown makes all calls fail.
+// SetDown makes all calls fail, or no longer does.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// SetDelay sets the time that a call takes.
+// SetDelay sets the duration of a call.
 func (s *Store) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// LoseAnswers makes the next n calls take effect without an answer.
+// LoseAnswers makes the next n calls take effect but return only when their context ends.
 func (s *Store) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.answersToLose = n
 }
 
-// Expire ends all leases.
-func (s *Store) Expire() {
+// ExpireLeases makes all leases expire.
+func (s *Store) ExpireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
-		s.endLocked(id)
+		s.revokeLocked(id)
 	}
 }
 
-// Close stops the timers of the leases.
-func (s *Store) Close() { s.Expire() }
+// Close stops all timers.
+func (s *Store) Close() { s.ExpireLeases() }
 
 // Calls returns the number of calls so far.
 func (s *Store) Calls() int {
@@ -72,7 +72,7 @@
 	return s.calls
 }
 
-// do runs one call under the store's faults.
+// do runs f, the effect of one call, subject to the store's faults.
 func (s *Store) do(ctx context.Context, f func() error) error {
 	s.mu.Lock()
 	s.calls++
@@ -92,9 +92,9 @@
 	}
 	s.mu.Lock()
 	err := f()
-	lost := s.lose > 0
+	lost := s.answersToLose > 0
 	if lost {
-		s.lose--
+		s.answersToLose--
 	}
 	s.mu.Unlock()
 	if lost {
@@ -135,7 +135,7 @@
 	return v, err
 }
 
-// Watch implements core.Store. It returns the entry at once.
+// Watch implements core.Store. It returns the current entry at once.
 func (s *Store) Watch(ctx context.Context, key string, _ core.Version) (core.Entry, error) {
 	return s.Get(ctx, key)
 }
@@ -149,14 +149,14 @@
 		s.leases[id] = time.AfterFunc(ttl, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.endLocked(id)
+			s.revokeLocked(id)
 		})
 		return nil
 	})
 	return id, err
 }
 
-// KeepAlive implements core.Store. It doesn't extend the lease's time, which tests end themselves.
+// KeepAlive implements core.Store. It doesn't extend the lease.
 func (s *Store) KeepAlive(ctx context.Context, id core.LeaseID) error {
 	return s.do(ctx, func() error {
 		if _, ok := s.leases[id]; !ok {
@@ -169,7 +169,7 @@
 // Revoke implements core.Store.
 func (s *Store) Revoke(ctx context.Context, id core.LeaseID) error {
 	return s.do(ctx, func() error {
-		s.endLocked(id)
+		s.revokeLocked(id)
 		return nil
 	})
 }
@@ -177,7 +177,7 @@
 // VMs implements core.Store.
 func (s *Store) VMs(context.Context) ([]core.VM, error) { return nil, nil }
 
-func (s *Store) endLocked(id core.LeaseID) {
+func (s *Store) revokeLocked(id core.LeaseID) {
 	if t := s.leases[id]; t != nil {
 		t.Stop()
 	}
--- a/matrix/cell.go
+++ b/matrix/cell.go
@@ -10,16 +10,16 @@
 	"snipewall/core/elect"
 )
 
-// Cell is one combination of the matrix.
+// Cell is one combination of step and fault in the matrix.
 type Cell struct {
 	Step  elect.Step
 	Fault Fault
-	// Twice lets trigger and fault strike a second time.
+	// Twice repeats the trigger and the fault.
 	Twice bool
 	Seed  uint64
 }
 
-// Name returns the cell's name, which selects it as a subtest.
+// Name returns the name of the cell's subtest.
 func (c Cell) Name() string {
 	times := "Once"
 	if c.Twice {
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%s/%s/%s/%d", c.Step, c.Fault, times, c.Seed)
 }
 
-// Cells returns all combinations of steps and faults, each with its own seed derived from base.
+// Cells returns all cells, each with its own seed derived from base.
 func Cells(base uint64) []Cell {
 	var cells []Cell
 	for _, step := range elect.Steps() {
@@ -41,16 +41,16 @@
 	return cells
 }
 
-// Times of a cell.
+// Durations of the parts of a cell.
 const (
 	warmTime    = 2 * time.Second
 	triggerTime = 8 * time.Second
 	settleTime  = 5 * time.Second
-	// reachTime is how long a trigger may take to bring a driver to the step.
+	// reachTime is how long after the trigger a driver must begin the step.
 	reachTime = 20 * time.Second
 )
 
-// run is the state of a running cell.
+// run is the state of a cell while it runs.
 type run struct {
 	cell  Cell
 	mu    sync.Mutex
@@ -58,7 +58,7 @@
 	hits  int
 }
 
-// hook strikes once per arming, when the first driver enters the step.
+// hook injects the fault when the first driver begins the step after arm was called.
 func (r *run) hook(w *World, site string, step elect.Step) time.Duration {
 	r.mu.Lock()
 	strike := r.armed && step == r.cell.Step
@@ -85,7 +85,8 @@
 	return r.hits
 }
 
-// Run runs the cell and checks its history. It must be called in a synctest bubble.
+// Run runs the cell and checks its history. It returns an error if the step wasn't reached or a check
+// fails. It must be called in a synctest bubble.
 func (c Cell) Run(cfg WorldConfig) (History, error) {
 	r := &run{cell: c}
 	cfg.Seed = c.Seed
@@ -113,7 +114,7 @@
 	return h, CheckAll(h)
 }
 
-// trigger makes the drivers take the step.
+// trigger causes a change of primary that includes the step.
 func (w *World) trigger(step elect.Step) {
 	primary := w.Primary()
 	if primary == "" {
@@ -131,7 +132,7 @@
 	w.busy()
 }
 
-// fail kills or isolates the primary for a time.
+// fail kills or isolates the primary for triggerTime.
 func (w *World) fail(primary core.UpstreamID) {
 	w.mu.Lock()
 	kill := w.random.IntN(2) == 0
--- a/matrix/check.go
+++ b/matrix/check.go
@@ -14,10 +14,10 @@
 // RecoveryLimit is how long a group with a connected majority may go without a confirmed write.
 const RecoveryLimit = 16 * time.Second
 
-// linearLimit bounds the search of the linearizability checker.
+// linearLimit limits the search of the linearizability checker.
 const linearLimit = 20 * time.Second
 
-// Check is one invariant over a history.
+// Check is an invariant of histories.
 type Check struct {
 	Name string
 	Run  func(h History) error
@@ -47,7 +47,7 @@
 	return errors.Join(failures...)
 }
 
-// CheckAcknowledged reports an acknowledged write that the primary's log doesn't hold at its place.
+// CheckAcknowledged reports an acknowledged write that isn't in the primary's log at its position.
 func CheckAcknowledged(h History) error {
 	log := h.Logs[h.Primary]
 	for _, op := range h.Ops {
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// CheckOldPrimary reports a write that was acknowledged under a term although a write of a higher
-// term had been acknowledged before it began.
+// CheckOldPrimary reports an acknowledged write that started after a write of a higher term had been
+// acknowledged.
 func CheckOldPrimary(h History) error {
 	writes := acknowledged(h)
 	first := make(map[core.Term]Op)
@@ -92,8 +92,8 @@
 	return ops
 }
 
-// CheckReadYourWrites reports a read whose index doesn't cover a write acknowledged before it began.
-// Any two operations can belong to one session, on any entry VMs.
+// CheckReadYourWrites reports a read whose index doesn't cover a write that was acknowledged before the
+// read started. Any two operations may belong to one session, on any entry VMs.
 func CheckReadYourWrites(h History) error {
 	writes := acknowledged(h)
 	slices.SortFunc(writes, func(a, b Op) int { return a.End.Compare(b.End) })
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// CheckTerms reports a term with two primaries and an entry VM whose term or confirmed position went
-// back.
+// CheckTerms reports a term with two primaries, and an entry VM whose term or confirmed position
+// decreased.
 func CheckTerms(h History) error {
 	for term, ids := range h.Reigns {
 		if len(ids) > 1 {
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// CheckRecovered reports a stretch of RecoveryLimit with a connected majority and without an
+// CheckRecovered reports a period longer than RecoveryLimit with a connected majority and without an
 // acknowledged write.
 func CheckRecovered(h History) error {
 	marks := []time.Time{h.End}
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// disconnected returns when the connection that began at i ended.
+// disconnected returns when the connected period that began at index i ended.
 func disconnected(h History, i int) time.Time {
 	for _, c := range h.Connected[i:] {
 		if !c.Majority {
@@ -178,7 +178,7 @@
 	return h.End
 }
 
-// longestGap returns the longest time between marks from start to end.
+// longestGap returns the longest time between adjacent marks, including start and end.
 func longestGap(marks []time.Time, start, end time.Time) time.Duration {
 	longest := time.Duration(0)
 	last := start
@@ -192,7 +192,7 @@
 	return max(longest, end.Sub(last))
 }
 
-// CheckRepaired reports an upstream that doesn't follow the primary at the end.
+// CheckRepaired reports an upstream that doesn't follow the primary at the end of the history.
 func CheckRepaired(h History) error {
 	primary, ok := h.States[h.Primary]
 	if !ok {
@@ -217,7 +217,7 @@
 	value int
 }
 
-// register models keys that each hold one value, 0 at first.
+// register models keys that each hold one value, initially 0.
 var register = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := make(map[string][]porcupine.Operation)
@@ -240,8 +240,8 @@
 	},
 }
 
-// CheckLinearizable reports a history of acknowledged writes and reads that no order of a register
-// explains. A write with an unknown outcome takes part if some read saw it, with an open end.
+// CheckLinearizable reports a history whose reads and acknowledged writes are not linearizable. A write
+// with an unknown outcome is included, with an open end, if a read returned its value.
 func CheckLinearizable(h History) error {
 	seen := make(map[int]bool)
 	for _, op := range h.Ops {
--- a/matrix/check_test.go
+++ b/matrix/check_test.go
@@ -11,7 +11,7 @@
 	"snipewall/core/elect"
 )
 
-// history runs a world through the script and returns what it recorded.
+// history runs the script in a new simulation and returns the history.
 func history(t *testing.T, cfg WorldConfig, script func(w *World)) History {
 	var h History
 	synctest.Test(t, func(*testing.T) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// splitPrimary cuts u1 off from all but vm-a, so that vm-a's clients still reach the old primary
-// while vm-b has it replaced, and heals everything later.
+// splitPrimary isolates u1 from all but vm-a, so that vm-a's clients still reach the old primary while
+// vm-b replaces it, and ends the partition later.
 func splitPrimary(w *World) {
 	w.Group.Isolate("u1", true, "vm-b")
 	w.noteConnected()
@@ -46,7 +46,8 @@
 	time.Sleep(8 * time.Second)
 }
 
-// lossySplit lets the old primary, which vm-a still reaches, and the new one take writes at once.
+// lossySplit makes the old primary accept writes from vm-a, which reaches only that one, while the new
+// primary accepts writes from vm-b.
 func lossySplit(w *World) {
 	w.Group.Isolate("u1", true, "vm-b")
 	for _, id := range []string{"u2", "u3"} {
@@ -60,8 +61,8 @@
 	time.Sleep(8 * time.Second)
 }
 
-// oldPrimaryReturns isolates the primary and lets it come back while it still takes itself for the
-// primary. busyWorld's hook delays its repair, so that the entry VMs see it.
+// oldPrimaryReturns isolates the primary and reconnects it while its role is still primary. busyWorld's
+// hook delays its repair, so that the entry VMs see it.
 func oldPrimaryReturns(w *World) {
 	w.Group.Isolate("u1", true, w.Sites()...)
 	w.noteConnected()
@@ -71,7 +72,7 @@
 	time.Sleep(8 * time.Second)
 }
 
-// crashPrimary kills the primary for longer than a recovery may take.
+// crashPrimary kills the primary for longer than RecoveryLimit.
 func crashPrimary(w *World) {
 	primary := w.Primary()
 	w.Group.Kill(primary)
@@ -80,8 +81,8 @@
 	time.Sleep(3 * time.Second)
 }
 
-// Guards against a checker that can't fail: each one must report the history of a world without the
-// mechanism that it watches over, and accept the history of the whole world under the same script.
+// Guards against a checker that never fails: each one must report the history of a simulation with a
+// defect that violates its invariant, and accept the history of the same script without the defect.
 func TestCheckersNoticeMissingMechanism(t *testing.T) {
 	tests := []struct {
 		check  func(History) error
@@ -101,14 +102,14 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			err := tt.check(history(t, busyWorld(tt.broken), tt.script))
-			assert.Assert(t, err != nil, "the checker accepts a world without the mechanism")
+			assert.Assert(t, err != nil, "the checker accepts a history with the defect")
 			t.Log(err)
 			assert.NilError(t, CheckAll(history(t, busyWorld(Broken{}), tt.script)))
 		})
 	}
 }
 
-// sameTerm plays a driver that promotes without a majority.
+// sameTerm acts like a driver that promotes without a majority.
 func sameTerm(w *World) {
 	for _, id := range []core.UpstreamID{"u2", "u3"} {
 		_, _ = w.Group.Remote("vm-b", id).Promote(w.ctx, 9)
@@ -116,7 +117,7 @@
 	time.Sleep(8 * time.Second)
 }
 
-// strayReplica plays a driver that died after it had prepared one replica.
+// strayReplica acts like a driver that failed after it had prepared one replica.
 func strayReplica(w *World) {
 	_, _ = w.Group.Remote("vm-b", "u3").Prepare(w.ctx, 9)
 	time.Sleep(8 * time.Second)
--- a/matrix/client.go
+++ b/matrix/client.go
@@ -14,7 +14,7 @@
 // readDeadline is the clients' deadline for a read.
 const readDeadline = 2 * time.Second
 
-// keys are the registers that the clients use.
+// keys are the keys that the clients read and write.
 var keys = []string{"x", "y"}
 
 // startClients starts the writers and readers of each entry VM.
@@ -47,7 +47,7 @@
 	})
 }
 
-// pauseTime returns a random time around the mean time between operations.
+// pauseTime returns a random time until a client's next operation.
 func (w *World) pauseTime() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -58,7 +58,7 @@
 	return every/2 + time.Duration(w.random.Int64N(int64(every)))
 }
 
-// observe records which primary the entry VM knows.
+// observe records the entry VM's view of the primary.
 func (w *World) observe(v *vm) {
 	id, term, ok := w.primary(v)
 	if !ok {
@@ -110,7 +110,7 @@
 	w.add(op)
 }
 
-// read reads at a read index from an upstream that has applied it, replicas first.
+// read reads at a read index from an upstream that has applied that position.
 func (w *World) read(ctx context.Context, v *vm, client int, key string) {
 	op := Op{Client: client, Site: v.site, Key: key, Start: time.Now()}
 	ctx, cancel := context.WithTimeout(ctx, readDeadline)
@@ -141,7 +141,8 @@
 	return s.Log, nil
 }
 
-// readAt waits a short time for a random upstream, then asks the primary.
+// readAt reads from a random upstream if that applies the position in a short time, and otherwise from the
+// primary.
 func (w *World) readAt(ctx context.Context, v *vm, key string, p core.Position) (int, error) {
 	id := w.target()
 	short, cancel := context.WithTimeout(ctx, readDeadline/4)
--- a/matrix/doc.go
+++ b/matrix/doc.go
@@ -1,14 +1,15 @@
-// Package matrix holds the fault matrix: it runs the real monitor and failover driver of two entry
-// VMs against an in-memory group on the fake clock of testing/synctest, injects each fault at each
-// step of the driver, and checks the guarantees on the recorded history.
+// Package matrix contains the fault matrix. It runs the monitors and failover drivers of two entry VMs
+// against an in-memory group on the fake clock of testing/synctest, injects each fault at each step of
+// the driver, and checks the guarantees on the recorded history.
 //
-// A cell is a step (from elect.Steps), a fault (from Faults), whether the fault strikes twice, and a
-// seed. Clients write with Confirm and read with ReadIndex and WaitApplied during the whole cell.
+// A cell consists of a step (from elect.Steps), a fault (from Faults), whether the fault is injected
+// twice, and a seed. Clients write with Confirm and read with ReadIndex and WaitApplied during the whole
+// cell.
 //
-// TestGeneratedFaults adds faults at arbitrary times that overlap and repeat.
+// TestGeneratedFaults injects generated faults at arbitrary times, which may overlap and repeat.
 //
-// The clock is fake, but goroutines that are ready at the same instant run in any order, so that a seed
-// fixes the faults and delays and not the whole run. Repeat a failed cell with -count.
+// Although the clock is fake, goroutines that are ready at the same time run in any order. A seed
+// therefore determines the faults and delays but not the whole run. Repeat a failed cell with -count.
 //
 // # Usage
 //
--- a/matrix/fault.go
+++ b/matrix/fault.go
@@ -8,21 +8,21 @@
 	"snipewall/core/fakes"
 )
 
-// Fault is a kind of fault that strikes when a driver enters a step.
+// Fault is a kind of fault, which is injected when a driver begins a step.
 type Fault string
 
 // Faults of the matrix.
 const (
-	// FaultNone is the trigger of the step alone.
+	// FaultNone injects no fault besides the trigger of the step.
 	FaultNone Fault = "None"
 	// FaultKill kills an upstream.
 	FaultKill Fault = "Kill"
-	// FaultCutIn loses all messages to an upstream, FaultCutOut all messages from it.
+	// FaultCutIn drops all messages to an upstream, FaultCutOut all messages from it.
 	FaultCutIn  Fault = "CutIn"
 	FaultCutOut Fault = "CutOut"
 	// FaultCutBoth isolates an upstream.
 	FaultCutBoth Fault = "CutBoth"
-	// FaultCutVM cuts the entry VM of the driver that took the step from all upstreams.
+	// FaultCutVM isolates the entry VM of the driver in the step from all upstreams.
 	FaultCutVM Fault = "CutVM"
 	// FaultFreeze freezes an upstream for 1 min.
 	FaultFreeze Fault = "Freeze"
@@ -30,14 +30,14 @@
 	FaultPause Fault = "Pause"
 	// FaultSlow makes all upstreams 10 times slower.
 	FaultSlow Fault = "Slow"
-	// FaultAnswerLost loses the answers of the step's calls after they took effect.
+	// FaultAnswerLost drops the answers to the step's calls, which take effect.
 	FaultAnswerLost Fault = "AnswerLost"
-	// FaultAnswerLate delays the answers of the step's calls, beyond the deadline of the call.
+	// FaultAnswerLate delays the answers to the step's calls beyond their deadline.
 	FaultAnswerLate Fault = "AnswerLate"
-	// FaultPlatformDown makes the store fail, FaultPlatformSlow makes it take 5 s per call.
+	// FaultPlatformDown makes calls to the store fail, FaultPlatformSlow makes each take 5 s.
 	FaultPlatformDown Fault = "PlatformDown"
 	FaultPlatformSlow Fault = "PlatformSlow"
-	// FaultLeaseLapsed pauses the driver for longer than the lease lives.
+	// FaultLeaseLapsed pauses the driver for longer than the lease's TTL.
 	FaultLeaseLapsed Fault = "LeaseLapsed"
 )
 
@@ -54,15 +54,15 @@
 	faultTime  = 5 * time.Second
 	freezeTime = time.Minute
 	lapseTime  = 15 * time.Second
-	// slowFactor multiplies a processing time of 1 ms.
+	// slowFactor multiplies the processing time.
 	slowFactor = 10
-	// lateTime is above the deadline of a control call.
+	// lateTime is longer than the timeout of a control call.
 	lateTime = 700 * time.Millisecond
-	// lostAnswers is the number of answers that a fault loses or delays.
+	// lostAnswers is the number of answers that a fault drops or delays.
 	lostAnswers = 3
 )
 
-// inject starts the fault and schedules its end. It returns how long the calling driver is paused.
+// inject begins the fault and schedules its end. It returns how long the calling driver must pause.
 func (w *World) inject(f Fault, step elect.Step, site string) time.Duration {
 	heal, pause := faultTime, time.Duration(0)
 	switch f {
@@ -87,7 +87,8 @@
 	return pause
 }
 
-// lasting returns what begins and ends a fault that lasts, or nil.
+// lasting returns the function that begins and ends a fault, or nil if the fault isn't switched on and
+// off.
 func (w *World) lasting(f Fault, target core.UpstreamID, site string) func(on bool) {
 	switch f {
 	case FaultKill:
@@ -95,7 +96,7 @@
 	case FaultCutIn:
 		return func(on bool) { w.cutIn(string(target), on) }
 	case FaultCutOut:
-		return func(on bool) { w.Group.Mute(target, on, w.Sites()...) }
+		return func(on bool) { w.Group.CutOutgoing(target, on, w.Sites()...) }
 	case FaultCutBoth:
 		return func(on bool) { w.Group.Isolate(target, on, w.Sites()...) }
 	case FaultCutVM:
@@ -113,7 +114,7 @@
 	}
 }
 
-// target picks the upstream that a fault strikes.
+// target returns a random upstream.
 func (w *World) target() core.UpstreamID {
 	ids := w.Group.IDs()
 	w.mu.Lock()
@@ -154,21 +155,21 @@
 	w.Store.SetDelay(delay)
 }
 
-// faultAnswers strikes the answers of the calls that the step makes.
+// faultAnswers applies the fault to answers to the calls that the step makes.
 func (w *World) faultAnswers(step elect.Step, f fakes.AnswerFault) {
 	switch step {
 	case elect.StepDrain, elect.StepPrepare:
-		w.Group.FaultAnswers(fakes.CallPrepare, "", lostAnswers, f)
+		w.Group.SetAnswerFault(fakes.CallPrepare, "", lostAnswers, f)
 	case elect.StepPromote:
-		w.Group.FaultAnswers(fakes.CallPromote, "", lostAnswers, f)
+		w.Group.SetAnswerFault(fakes.CallPromote, "", lostAnswers, f)
 	case elect.StepFollow, elect.StepRepair:
-		w.Group.FaultAnswers(fakes.CallFollow, "", lostAnswers, f)
+		w.Group.SetAnswerFault(fakes.CallFollow, "", lostAnswers, f)
 	case elect.StepLease:
 		w.Store.LoseAnswers(lostAnswers)
 	case elect.StepRelease:
-		// More lost answers would deny the next change its lease, and with it this step.
+		// With more lost answers, the next change would get no lease and not reach this step.
 		w.Store.LoseAnswers(1)
 	default:
-		w.Group.FaultAnswers(fakes.CallStatus, "", lostAnswers, f)
+		w.Group.SetAnswerFault(fakes.CallStatus, "", lostAnswers, f)
 	}
 }
--- a/matrix/gap.go
+++ b/matrix/gap.go
@@ -8,15 +8,14 @@
 	"snipewall/core/elect"
 )
 
-// Gaps collects the parts of the failover gap over several runs.
+// Gaps collects the failover gap and its parts over several runs. The zero value is ready to use.
 type Gaps struct {
 	parts map[string][]time.Duration
 }
 
-// gapParts are the names of the parts in order.
 var gapParts = []string{"Detection", "Delay", "Prepare", "Promote", "Confirm", "Total", "Writers"}
 
-// Add adds the parts of one change, and the longest time that writers saw without a confirmed write.
+// Add adds one change. writers is the longest time without a confirmed write.
 func (g *Gaps) Add(c elect.Change, writers time.Duration) {
 	if g.parts == nil {
 		g.parts = make(map[string][]time.Duration)
@@ -27,7 +26,7 @@
 	}
 }
 
-// Quantile returns a quantile of the part over all runs, for example 0.99.
+// Quantile returns the quantile q, for example 0.99, of the part over all runs.
 func (g *Gaps) Quantile(part string, q float64) time.Duration {
 	values := slices.Clone(g.parts[part])
 	if len(values) == 0 {
@@ -37,7 +36,7 @@
 	return values[min(int(q*float64(len(values))), len(values)-1)]
 }
 
-// String returns p50/p99 of each part in milliseconds.
+// String returns the p50 and p99 of each part in milliseconds.
 func (g *Gaps) String() string {
 	s := fmt.Sprintf("runs %d", len(g.parts[gapParts[0]]))
 	for _, part := range gapParts {
@@ -46,7 +45,7 @@
 	return s + " (p50/p99 ms)"
 }
 
-// WriteGap returns the longest time between two acknowledged writes of the history.
+// WriteGap returns the longest time between successive acknowledged writes of the history.
 func WriteGap(h History) time.Duration {
 	var ends []time.Time
 	for _, op := range acknowledged(h) {
--- a/matrix/gap_test.go
+++ b/matrix/gap_test.go
@@ -15,7 +15,7 @@
 
 var gapRuns = flag.Uint64("matrix.runs", 25, "runs per failover gap")
 
-// Guards against a failover gap above the target of 2 s at p99.
+// Guards against a failover gap of 2 s, the target, or more at p99.
 func TestFailoverGap(t *testing.T) {
 	faults := map[string]func(w *World, id core.UpstreamID){
 		"Kill":    func(w *World, id core.UpstreamID) { w.Group.Kill(id) },
@@ -39,7 +39,7 @@
 func measureGaps(t *testing.T, delay time.Duration, down bool, fault func(*World, core.UpstreamID)) *Gaps {
 	gaps := &Gaps{}
 	for seed := range *gapRuns {
-		// Writers with a deadline of 100 ms probe the group; a longer one would add up to its own length.
+		// The deadline is short since it adds up to its own length to the measured gap.
 		cfg := WorldConfig{
 			Seed: seed, Delay: delay, Clients: 1, Every: 20 * time.Millisecond, WriteDeadline: 100 * time.Millisecond,
 		}
@@ -66,8 +66,8 @@
 	return gaps
 }
 
-// Guards against a change of primary because of periods shorter than 1 s in which an upstream is 10
-// times slower, stands still or can't be reached.
+// Guards against a change of primary because an upstream is 10 times slower, frozen or isolated for less
+// than 1 s.
 func TestShortFaultsKeepPrimary(t *testing.T) {
 	shortFaults := map[string]func(w *World, id core.UpstreamID, on bool){
 		"Slow": func(w *World, id core.UpstreamID, on bool) {
@@ -85,7 +85,7 @@
 			t.Run(fmt.Sprintf("%s/%s", name, delay), func(t *testing.T) {
 				t.Parallel()
 				changes, spells := hourOfFaults(t, delay, fault)
-				t.Logf("%d changes of primary in %d short spells within a simulated hour", changes, spells)
+				t.Logf("%d changes of primary with %d short faults in a simulated hour", changes, spells)
 				assert.Equal(t, changes, 0)
 			})
 		}
@@ -100,12 +100,12 @@
 		random := rand.New(rand.NewPCG(9, 4))
 		time.Sleep(warmTime)
 		for end := time.Now().Add(time.Hour); time.Now().Before(end); spells++ {
-			// Every other spell strikes the primary.
+			// About two thirds of the faults affect u1, the primary.
 			id := w.Group.IDs()[random.IntN(2)*random.IntN(3)]
 			fault(w, id, true)
 			time.Sleep(time.Duration(random.Int64N(int64(999 * time.Millisecond))))
 			fault(w, id, false)
-			// Spells that nearly touch would add up to more than 1 s.
+			// Without this pause, successive faults could act like one of more than 1 s.
 			time.Sleep(500*time.Millisecond + time.Duration(random.Int64N(int64(4*time.Second))))
 		}
 		h = w.Close()
--- a/matrix/history.go
+++ b/matrix/history.go
@@ -8,8 +8,8 @@
 	"snipewall/core/fakes"
 )
 
-// Op is one operation of a client. A write that isn't Done has an unknown outcome. Reads that fail
-// and writes that were refused before they ran are not recorded.
+// Op is an operation of a client. A write that isn't Done has an unknown outcome. Failed reads and writes
+// that certainly had no effect are not recorded.
 type Op struct {
 	Client int
 	Site   string
@@ -22,7 +22,7 @@
 	Done       bool
 }
 
-// Sighting is what an entry VM took for the primary and the confirmed position.
+// Sighting is an entry VM's view of the primary and the confirmed position at one time.
 type Sighting struct {
 	At        time.Time
 	Site      string
@@ -31,31 +31,31 @@
 	Confirmed core.Position
 }
 
-// Connection says from when on a majority was, or wasn't, connected.
+// Connection records whether a majority was connected, from At until the next Connection.
 type Connection struct {
 	At       time.Time
 	Majority bool
 }
 
-// History is everything that the checkers look at.
+// History is the record of a run that the checkers use.
 type History struct {
 	Ops       []Op
 	Sightings []Sighting
 	Connected []Connection
 	Changes   []elect.Change
 	Reigns    map[core.Term][]core.UpstreamID
-	// Logs are the logs at the end, by upstream, and States the statuses.
+	// Logs and States are the logs and statuses of the upstreams at the end.
 	Logs   map[core.UpstreamID][]fakes.Entry
 	States map[core.UpstreamID]core.UpstreamStatus
-	// Primary is the reigning primary at the end.
+	// Primary is the primary at the end, or empty.
 	Primary core.UpstreamID
 	End     time.Time
 }
 
-// record takes the history so far.
+// record returns the history so far.
 func (w *World) record() History {
 	h := History{
-		Reigns:  w.Group.Reigns(),
+		Reigns:  w.Group.PrimariesByTerm(),
 		Logs:    make(map[core.UpstreamID][]fakes.Entry),
 		States:  make(map[core.UpstreamID]core.UpstreamStatus),
 		Primary: w.Primary(),
--- a/matrix/matrix_test.go
+++ b/matrix/matrix_test.go
@@ -13,8 +13,8 @@
 
 var seedFlag = flag.Uint64("matrix.seed", 1, "base seed of the matrix")
 
-// Guards against a fault at any step of a change of primary that loses an acknowledged write, lets an
-// old primary acknowledge one, shows old data to a session or leaves the group without a primary.
+// Guards against a fault, at any step of a change of primary, that loses an acknowledged write, makes an
+// old primary acknowledge one, makes a session read stale data or leaves the group without a primary.
 func TestMatrix(t *testing.T) {
 	var passed, failed atomic.Int64
 	var mu sync.Mutex
@@ -41,7 +41,7 @@
 	fmt.Printf("%d passed, %d failed\n", passed.Load(), failed.Load())
 }
 
-// cellWorld varies the distances and the lag with the seed.
+// cellWorld returns a configuration with delays and replication lag that depend on the seed.
 func cellWorld(seed uint64) WorldConfig {
 	random := rand.New(rand.NewPCG(seed, 2))
 	delays := []time.Duration{500 * time.Microsecond, 1500 * time.Microsecond, 12 * time.Millisecond}
--- a/matrix/strike.go
+++ b/matrix/strike.go
@@ -9,26 +9,26 @@
 	"snipewall/core/fakes"
 )
 
-// Strike is one fault of a generated run, at any time instead of at a step.
+// Strike is a fault that is injected at a given time instead of at a step.
 type Strike struct {
-	// Wait is the time since the strike before.
+	// Wait is the time since the previous fault began.
 	Wait  time.Duration
 	Fault Fault
-	// Target and Site select an upstream and an entry VM by index.
+	// Target and Site are the indexes of the affected upstream and entry VM.
 	Target, Site int
-	// Lasts is how long a fault lasts, or how long a driver is paused at its next step.
+	// Lasts is the duration of the fault, or of the driver's pause at its next step.
 	Lasts time.Duration
-	// Step selects the calls whose answers are lost or late.
+	// Step determines the calls whose answers are lost or late.
 	Step elect.Step
 }
 
-// String describes the strike for the output of a failed run.
+// String returns a description for the output of a failed run.
 func (s Strike) String() string {
 	return fmt.Sprintf("+%s %s u%d vm%d %s %s", s.Wait, s.Fault, s.Target+1, s.Site, s.Lasts, s.Step)
 }
 
-// Play runs the strikes one after the other, overlapping as their times say, waits until the group
-// has had time to recover, and returns the history. It must be called in a synctest bubble.
+// Play injects the faults, which may overlap, waits until the group has had time to recover, and returns
+// the history. It must be called in a synctest bubble.
 func Play(cfg WorldConfig, strikes []Strike) History {
 	p := &player{pauses: make(map[string]time.Duration)}
 	cfg.Hook = p.hook
@@ -46,7 +46,7 @@
 	return w.Close()
 }
 
-// player holds the pauses that wait for a driver's next step.
+// player holds the pauses that begin with the next step of a site's driver.
 type player struct {
 	pauses map[string]time.Duration
 }
@@ -72,7 +72,7 @@
 		p.pauses[site] = s.Lasts
 		w.mu.Unlock()
 	case FaultLeaseLapsed:
-		w.Store.Expire()
+		w.Store.ExpireLeases()
 	case FaultAnswerLost:
 		w.faultAnswers(s.Step, fakes.AnswerFault{Lost: true})
 	case FaultAnswerLate:
@@ -85,7 +85,7 @@
 	}
 }
 
-// leave marks the upstream as leaving for a time.
+// leave marks the upstream as leaving for the duration.
 func (w *World) leave(target core.UpstreamID, lasts time.Duration) {
 	w.Group.SetLeaving(target, true)
 	w.later(lasts, func() { w.Group.SetLeaving(target, false) })
--- a/matrix/strike_test.go
+++ b/matrix/strike_test.go
@@ -13,7 +13,8 @@
 
 var strikeRuns = flag.Int("matrix.strikes", 4, "parallel searches of 20 generated runs each")
 
-// Guards against overlapping and repeated faults at any times, where the matrix has them at steps.
+// Guards against violations of the guarantees by faults that overlap, repeat and begin at any time, while
+// the matrix injects them only at steps.
 func TestGeneratedFaults(t *testing.T) {
 	if f := flag.Lookup("rapid.checks"); f.Value.String() == f.DefValue {
 		if err := f.Value.Set("20"); err != nil {
@@ -38,7 +39,7 @@
 	}
 }
 
-// strikeOf generates strikes on a group of the size.
+// strikeOf generates faults for a group of the size.
 func strikeOf(size int) *rapid.Generator[Strike] {
 	return rapid.Custom(func(t *rapid.T) Strike {
 		ms := func(name string, most int) time.Duration {
--- a/matrix/world.go
+++ b/matrix/world.go
@@ -12,44 +12,45 @@
 	"snipewall/core/quorum"
 )
 
-// busyTime is how long clients work at their full rate after a fault begins or ends.
+// busyTime is how long clients run at their full rate after a fault begins or ends.
 const busyTime = 4 * time.Second
 
-// Broken switches off one mechanism each, so that tests can show that the checkers notice.
+// Broken selects defects, so that tests can show that the checkers detect them.
 type Broken struct {
-	// AckAtCommit acknowledges a write at the primary's commit, without Confirm.
+	// AckAtCommit acknowledges a write after the primary's commit, without Confirm.
 	AckAtCommit bool
-	// StaleIndex reads at the position of the last status instead of a read index.
+	// StaleIndex uses the position of the primary's last status as read index.
 	StaleIndex bool
-	// AnyPrimary takes the first upstream that calls itself primary, without a majority.
+	// AnyPrimary uses the first upstream that reports to be the primary, without a majority.
 	AnyPrimary bool
-	// NoDriver runs no failover driver.
+	// NoDriver runs no failover drivers.
 	NoDriver bool
-	// AnyTerm lets upstreams accept lower terms.
+	// AnyTerm makes upstreams accept terms that they must refuse.
 	AnyTerm bool
 }
 
-// WorldConfig constructs a World.
+// WorldConfig configures a World.
 type WorldConfig struct {
 	Seed uint64
-	// Size is the number of upstreams, 3 if 0.
+	// Size is the number of upstreams. The default is 3.
 	Size int
-	// Delay is the one-way delay, Lag the time of replication beyond it.
+	// Delay is the one-way delay, Lag the replication lag in addition to it.
 	Delay, Lag time.Duration
-	// Processing is the time that an upstream takes for one call, 1 ms if 0.
+	// Processing is the time that an upstream takes for one call. The default is 1 ms.
 	Processing time.Duration
 	// Clients is the number of writers and of readers per entry VM.
 	Clients int
-	// Every is the mean time between a client's operations. Far from any fault it is 5 times as long.
+	// Every is the mean time between a client's operations. More than busyTime after the last fault it is
+	// 5 times as long.
 	Every time.Duration
-	// WriteDeadline is the clients' deadline for a write, 1 s if 0.
+	// WriteDeadline is the clients' timeout of a write. The default is 1 s.
 	WriteDeadline time.Duration
 	Broken        Broken
-	// Hook is called when a driver enters a step and returns how long to pause it.
+	// Hook, if set, is called when a driver begins a step. It returns how long the driver must pause.
 	Hook func(w *World, site string, step elect.Step) time.Duration
 }
 
-// World is a group with two entry VMs and their clients. It lives in a synctest bubble.
+// World simulates a group with two entry VMs and their clients. It must be used in a synctest bubble.
 type World struct {
 	Group *fakes.Group
 	Store *fakes.Store
@@ -67,10 +68,10 @@
 	changes   []elect.Change
 	next      int
 	pending   sync.WaitGroup
-	// halt ends the clients after their current operations.
+	// halt is closed to stop the clients after their current operations.
 	halt    chan struct{}
 	clients sync.WaitGroup
-	// quietAt is when all faults have ended, busyUntil when the clients may slow down.
+	// quietAt is when the last fault ends, busyUntil when the clients slow down.
 	quietAt, busyUntil time.Time
 }
 
@@ -81,7 +82,7 @@
 	driver *elect.Driver
 }
 
-// NewWorld starts the group, the monitors, the drivers and the clients. Close ends them.
+// NewWorld starts the group, the monitors, the drivers and the clients. Close stops them.
 func NewWorld(cfg WorldConfig) *World {
 	if cfg.Size == 0 {
 		cfg.Size = 3
@@ -100,7 +101,7 @@
 		halt:   make(chan struct{}),
 		Group: fakes.NewGroup(fakes.GroupConfig{
 			Group: "g", Size: cfg.Size, Delay: cfg.Delay, Lag: cfg.Lag,
-			Heartbeat: 50 * time.Millisecond, Processing: cfg.Processing, AnyTerm: cfg.Broken.AnyTerm,
+			Heartbeat: 50 * time.Millisecond, Processing: cfg.Processing, AcceptAnyTerm: cfg.Broken.AnyTerm,
 		}),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -122,7 +123,7 @@
 // Sites returns the names of the entry VMs.
 func (w *World) Sites() []string { return []string{"vm-a", "vm-b"} }
 
-// places returns the names of all upstreams and entry VMs.
+// places returns the names of all endpoints: the entry VMs and the upstreams.
 func (w *World) places() []string {
 	places := w.Sites()
 	for _, id := range w.Group.IDs() {
@@ -157,7 +158,7 @@
 	}
 }
 
-// run starts a goroutine that reports its end to Close.
+// run runs f in a goroutine that Close waits for.
 func (w *World) run(ctx context.Context, f func(ctx context.Context) error) {
 	w.pending.Add(1)
 	go func() {
@@ -166,7 +167,7 @@
 	}()
 }
 
-// later runs the function after a time, unless the world is closed first.
+// later calls f after d. f begins or ends a fault.
 func (w *World) later(d time.Duration, f func()) {
 	time.AfterFunc(d, func() {
 		f()
@@ -175,7 +176,7 @@
 	})
 }
 
-// extend makes Quiet wait for a fault that lasts d from now.
+// extend makes Quiet wait until d from now, when a fault ends.
 func (w *World) extend(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -184,7 +185,7 @@
 	}
 }
 
-// busy makes the clients work at their full rate for a while.
+// busy makes the clients run at their full rate for busyTime.
 func (w *World) busy() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -204,8 +205,8 @@
 	}
 }
 
-// Close stops everything and returns the history. The clients end first: a write that is under way
-// when the history is taken may have been read already.
+// Close stops everything and returns the history. It stops the clients before it takes the history,
+// since a read may already have returned the value of a write that is still in progress.
 func (w *World) Close() History {
 	close(w.halt)
 	w.clients.Wait()
@@ -217,7 +218,7 @@
 	return h
 }
 
-// Primary returns the reigning primary as the group itself knows it, or empty.
+// Primary returns the primary of the highest term according to the upstreams themselves, or empty.
 func (w *World) Primary() core.UpstreamID {
 	var primary core.UpstreamID
 	var term core.Term
@@ -236,10 +237,10 @@
 	w.changes = append(w.changes, c)
 }
 
-// noteConnected records whether a majority of the upstreams, connected with each other and with an
-// entry VM, works.
+// noteConnected records whether a majority of the upstreams is running and connected with each other and
+// with an entry VM.
 func (w *World) noteConnected() {
-	c := Connection{At: time.Now(), Majority: w.Group.Connected(w.Sites())}
+	c := Connection{At: time.Now(), Majority: w.Group.HasConnectedMajority(w.Sites())}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.connected = append(w.connected, c)
