--- a/matrix/cell.go
+++ b/matrix/cell.go
@@ -43,105 +43,105 @@
 
 // Durations of the parts of a cell.
 const (
-	warmTime    = 2 * time.Second
-	triggerTime = 8 * time.Second
-	settleTime  = 5 * time.Second
-	// reachTime is how long after the trigger a driver must begin the step.
-	reachTime = 20 * time.Second
+	warmUpTime   = 2 * time.Second
+	triggerTime  = 8 * time.Second
+	recoveryTime = 5 * time.Second
+	// stepTimeout is how long after the trigger a driver must begin the step.
+	stepTimeout = 20 * time.Second
 )
 
-// run is the state of a cell while it runs.
-type run struct {
-	cell  Cell
-	mu    sync.Mutex
-	armed bool
-	hits  int
+// cellRun is the state of a cell while it runs.
+type cellRun struct {
+	cell       Cell
+	mu         sync.Mutex
+	armed      bool
+	injections int
 }
 
 // hook injects the fault when the first driver begins the step after arm was called.
-func (r *run) hook(w *World, site string, step elect.Step) time.Duration {
+func (r *cellRun) hook(sim *Simulation, site string, step elect.Step) time.Duration {
 	r.mu.Lock()
-	strike := r.armed && step == r.cell.Step
-	if strike {
+	shouldInject := r.armed && step == r.cell.Step
+	if shouldInject {
 		r.armed = false
-		r.hits++
+		r.injections++
 	}
 	r.mu.Unlock()
-	if !strike {
+	if !shouldInject {
 		return 0
 	}
-	return w.inject(r.cell.Fault, step, site)
+	return sim.inject(r.cell.Fault, step, site)
 }
 
-func (r *run) arm() {
+func (r *cellRun) arm() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.armed = true
 }
 
-func (r *run) reached() int {
+func (r *cellRun) injectionCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.hits
+	return r.injections
 }
 
 // Run runs the cell and checks its history. It returns an error if the step wasn't reached or a check
 // fails. It must be called in a synctest bubble.
-func (c Cell) Run(cfg WorldConfig) (History, error) {
-	r := &run{cell: c}
+func (c Cell) Run(cfg SimulationConfig) (History, error) {
+	r := &cellRun{cell: c}
 	cfg.Seed = c.Seed
 	cfg.Hook = r.hook
-	w := NewWorld(cfg)
-	time.Sleep(warmTime)
+	sim := NewSimulation(cfg)
+	time.Sleep(warmUpTime)
 	rounds := 1
 	if c.Twice {
 		rounds = 2
 	}
 	for i := range rounds {
 		r.arm()
-		w.trigger(c.Step)
-		for end := time.Now().Add(reachTime); r.reached() <= i && time.Now().Before(end); {
+		sim.trigger(c.Step)
+		for end := time.Now().Add(stepTimeout); r.injectionCount() <= i && time.Now().Before(end); {
 			time.Sleep(100 * time.Millisecond)
 		}
-		w.Quiet()
-		time.Sleep(settleTime)
+		sim.WaitForFaults()
+		time.Sleep(recoveryTime)
 	}
-	time.Sleep(settleTime)
-	h := w.Close()
-	if r.reached() < rounds {
-		return h, errors.Join(fmt.Errorf("step reached %d of %d times", r.reached(), rounds), CheckAll(h))
+	time.Sleep(recoveryTime)
+	h := sim.Close()
+	if r.injectionCount() < rounds {
+		return h, errors.Join(fmt.Errorf("step reached %d of %d times", r.injectionCount(), rounds), CheckAll(h))
 	}
 	return h, CheckAll(h)
 }
 
 // trigger causes a change of primary that includes the step.
-func (w *World) trigger(step elect.Step) {
-	primary := w.Primary()
+func (sim *Simulation) trigger(step elect.Step) {
+	primary := sim.Primary()
 	if primary == "" {
 		return
 	}
 	switch step {
 	case elect.StepDrain, elect.StepCatchUp:
-		w.Group.SetLeaving(primary, true)
-		w.later(triggerTime, func() { w.Group.SetLeaving(primary, false) })
+		sim.Group.SetLeaving(primary, true)
+		sim.scheduleFaultEnd(triggerTime, func() { sim.Group.SetLeaving(primary, false) })
 	default:
-		w.fail(primary)
+		sim.failPrimary(primary)
 	}
-	w.extend(triggerTime)
-	w.noteConnected()
-	w.busy()
+	sim.extendFaults(triggerTime)
+	sim.recordConnected()
+	sim.setBusy()
 }
 
-// fail kills or isolates the primary for triggerTime.
-func (w *World) fail(primary core.UpstreamID) {
-	w.mu.Lock()
-	kill := w.random.IntN(2) == 0
-	w.mu.Unlock()
+// failPrimary kills or isolates the primary for triggerTime.
+func (sim *Simulation) failPrimary(primary core.UpstreamID) {
+	sim.mu.Lock()
+	kill := sim.random.IntN(2) == 0
+	sim.mu.Unlock()
 	if kill {
-		w.Group.Kill(primary)
-		w.later(triggerTime, func() { w.Group.Start(primary) })
+		sim.Group.Kill(primary)
+		sim.scheduleFaultEnd(triggerTime, func() { sim.Group.Start(primary) })
 		return
 	}
-	w.Group.Isolate(primary, true, w.Sites()...)
-	w.later(triggerTime, func() { w.Group.Isolate(primary, false, w.Sites()...) })
+	sim.Group.Isolate(primary, true, sim.Sites()...)
+	sim.scheduleFaultEnd(triggerTime, func() { sim.Group.Isolate(primary, false, sim.Sites()...) })
 }
--- a/matrix/check.go
+++ b/matrix/check.go
@@ -14,8 +14,8 @@
 // RecoveryLimit is how long a group with a connected majority may go without a confirmed write.
 const RecoveryLimit = 16 * time.Second
 
-// linearLimit limits the search of the linearizability checker.
-const linearLimit = 20 * time.Second
+// linearizabilityTimeout limits the search of the linearizability checker.
+const linearizabilityTimeout = 20 * time.Second
 
 // Check is an invariant of histories.
 type Check struct {
@@ -65,7 +65,7 @@
 // CheckOldPrimary reports an acknowledged write that started after a write of a higher term had been
 // acknowledged.
 func CheckOldPrimary(h History) error {
-	writes := acknowledged(h)
+	writes := acknowledgedWrites(h)
 	first := make(map[core.Term]Op)
 	for _, op := range writes {
 		if f, ok := first[op.Position.Term]; !ok || op.End.Before(f.End) {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func acknowledged(h History) []Op {
+func acknowledgedWrites(h History) []Op {
 	var ops []Op
 	for _, op := range h.Ops {
 		if op.Write && op.Done {
@@ -95,7 +95,7 @@
 // CheckReadYourWrites reports a read whose index doesn't cover a write that was acknowledged before the
 // read started. Any two operations may belong to one session, on any entry VMs.
 func CheckReadYourWrites(h History) error {
-	writes := acknowledged(h)
+	writes := acknowledgedWrites(h)
 	slices.SortFunc(writes, func(a, b Op) int { return a.End.Compare(b.End) })
 	for _, op := range h.Ops {
 		if op.Write || !op.Done {
@@ -116,13 +116,13 @@
 // CheckTerms reports a term with two primaries, and an entry VM whose term or confirmed position
 // decreased.
 func CheckTerms(h History) error {
-	for term, ids := range h.Reigns {
+	for term, ids := range h.PrimariesByTerm {
 		if len(ids) > 1 {
 			return fmt.Errorf("term %d has the primaries %v", term, ids)
 		}
 	}
-	last := make(map[string]Sighting)
-	for _, s := range h.Sightings {
+	last := make(map[string]Observation)
+	for _, s := range h.Observations {
 		before := last[s.Site]
 		if s.Term < before.Term || s.Confirmed.Less(before.Confirmed) {
 			return fmt.Errorf("%s saw term %d, confirmed %s after term %d, confirmed %s",
@@ -140,7 +140,7 @@
 // acknowledged write.
 func CheckRecovered(h History) error {
 	marks := []time.Time{h.End}
-	for _, op := range acknowledged(h) {
+	for _, op := range acknowledgedWrites(h) {
 		marks = append(marks, op.End)
 	}
 	for _, c := range h.Connected {
@@ -158,7 +158,7 @@
 			continue
 		}
 		since = c.At
-		if gap := longestGap(marks, since, disconnected(h, i)); gap > RecoveryLimit {
+		if gap := longestGap(marks, since, disconnectedAt(h, i)); gap > RecoveryLimit {
 			return fmt.Errorf("no acknowledged write for %s with a connected majority", gap)
 		}
 	}
@@ -168,8 +168,8 @@
 	return nil
 }
 
-// disconnected returns when the connected period that began at index i ended.
-func disconnected(h History, i int) time.Time {
+// disconnectedAt returns when the connected period that began at index i ended.
+func disconnectedAt(h History, i int) time.Time {
 	for _, c := range h.Connected[i:] {
 		if !c.Majority {
 			return c.At
@@ -269,11 +269,11 @@
 			Call: op.Start.Sub(start).Nanoseconds(), Return: end.Sub(start).Nanoseconds(),
 		})
 	}
-	switch porcupine.CheckOperationsTimeout(register, history, linearLimit) {
+	switch porcupine.CheckOperationsTimeout(register, history, linearizabilityTimeout) {
 	case porcupine.Illegal:
 		return errors.New("history is not linearizable")
 	case porcupine.Unknown:
-		return fmt.Errorf("linearizability of %d operations not decided within %s", len(history), linearLimit)
+		return fmt.Errorf("linearizability of %d operations not decided within %s", len(history), linearizabilityTimeout)
 	default:
 		return nil
 	}
--- a/matrix/check_test.go
+++ b/matrix/check_test.go
@@ -11,22 +11,22 @@
 	"snipewall/core/elect"
 )
 
-// history runs the script in a new simulation and returns the history.
-func history(t *testing.T, cfg WorldConfig, script func(w *World)) History {
+// runScript runs the script in a new simulation and returns the history.
+func runScript(t *testing.T, cfg SimulationConfig, script func(sim *Simulation)) History {
 	var h History
 	synctest.Test(t, func(*testing.T) {
-		w := NewWorld(cfg)
-		time.Sleep(warmTime)
-		script(w)
-		h = w.Close()
+		sim := NewSimulation(cfg)
+		time.Sleep(warmUpTime)
+		script(sim)
+		h = sim.Close()
 	})
 	return h
 }
 
-func busyWorld(b Broken) WorldConfig {
-	return WorldConfig{
-		Seed: 5, Delay: time.Millisecond, Lag: 20 * time.Millisecond, Clients: 2, Every: 20 * time.Millisecond, Broken: b,
-		Hook: func(_ *World, _ string, step elect.Step) time.Duration {
+func newTestConfig(b Defects) SimulationConfig {
+	return SimulationConfig{
+		Seed: 5, Delay: time.Millisecond, Lag: 20 * time.Millisecond, Clients: 2, Every: 20 * time.Millisecond, Defects: b,
+		Hook: func(_ *Simulation, _ string, step elect.Step) time.Duration {
 			if step == elect.StepRepair {
 				return 500 * time.Millisecond
 			}
@@ -37,88 +37,88 @@
 
 // splitPrimary isolates u1 from all but vm-a, so that vm-a's clients still reach the old primary while
 // vm-b replaces it, and ends the partition later.
-func splitPrimary(w *World) {
-	w.Group.Isolate("u1", true, "vm-b")
-	w.noteConnected()
+func splitPrimary(sim *Simulation) {
+	sim.Group.Isolate("u1", true, "vm-b")
+	sim.recordConnected()
 	time.Sleep(8 * time.Second)
-	w.Group.Heal()
-	w.noteConnected()
+	sim.Group.Heal()
+	sim.recordConnected()
 	time.Sleep(8 * time.Second)
 }
 
 // lossySplit makes the old primary accept writes from vm-a, which reaches only that one, while the new
 // primary accepts writes from vm-b.
-func lossySplit(w *World) {
-	w.Group.Isolate("u1", true, "vm-b")
+func lossySplit(sim *Simulation) {
+	sim.Group.Isolate("u1", true, "vm-b")
 	for _, id := range []string{"u2", "u3"} {
-		w.Group.Cut("vm-a", id, true)
-		w.Group.Cut(id, "vm-a", true)
+		sim.Group.Cut("vm-a", id, true)
+		sim.Group.Cut(id, "vm-a", true)
 	}
-	w.noteConnected()
+	sim.recordConnected()
 	time.Sleep(8 * time.Second)
-	w.Group.Heal()
-	w.noteConnected()
+	sim.Group.Heal()
+	sim.recordConnected()
 	time.Sleep(8 * time.Second)
 }
 
-// oldPrimaryReturns isolates the primary and reconnects it while its role is still primary. busyWorld's
-// hook delays its repair, so that the entry VMs see it.
-func oldPrimaryReturns(w *World) {
-	w.Group.Isolate("u1", true, w.Sites()...)
-	w.noteConnected()
+// oldPrimaryReturns isolates the primary and reconnects it while its role is still primary.
+// newTestConfig's hook delays its repair, so that the entry VMs see it.
+func oldPrimaryReturns(sim *Simulation) {
+	sim.Group.Isolate("u1", true, sim.Sites()...)
+	sim.recordConnected()
 	time.Sleep(8 * time.Second)
-	w.Group.Heal()
-	w.noteConnected()
+	sim.Group.Heal()
+	sim.recordConnected()
 	time.Sleep(8 * time.Second)
 }
 
 // crashPrimary kills the primary for longer than RecoveryLimit.
-func crashPrimary(w *World) {
-	primary := w.Primary()
-	w.Group.Kill(primary)
+func crashPrimary(sim *Simulation) {
+	primary := sim.Primary()
+	sim.Group.Kill(primary)
 	time.Sleep(RecoveryLimit + 2*time.Second)
-	w.Group.Start(primary)
+	sim.Group.Start(primary)
 	time.Sleep(3 * time.Second)
 }
 
 // Guards against a checker that never fails: each one must report the history of a simulation with a
 // defect that violates its invariant, and accept the history of the same script without the defect.
-func TestCheckersNoticeMissingMechanism(t *testing.T) {
+func TestCheckersDetectDefects(t *testing.T) {
 	tests := []struct {
-		check  func(History) error
-		name   string
-		broken Broken
-		script func(w *World)
+		check   func(History) error
+		name    string
+		defects Defects
+		script  func(sim *Simulation)
 	}{
-		{CheckAcknowledged, "AcknowledgedKept", Broken{AckAtCommit: true}, lossySplit},
-		{CheckOldPrimary, "NoOldPrimary", Broken{AckAtCommit: true, AnyPrimary: true}, lossySplit},
-		{CheckReadYourWrites, "ReadYourWrites", Broken{StaleIndex: true}, splitPrimary},
-		{CheckLinearizable, "Linearizable", Broken{StaleIndex: true}, splitPrimary},
-		{CheckTerms, "TermsForward", Broken{AnyPrimary: true}, oldPrimaryReturns},
-		{CheckTerms, "TermsForward by upstreams", Broken{AnyTerm: true}, sameTerm},
-		{CheckRecovered, "Recovered", Broken{NoDriver: true}, crashPrimary},
-		{CheckRepaired, "Repaired", Broken{NoDriver: true}, strayReplica},
+		{CheckAcknowledged, "AcknowledgedKept", Defects{AckAtCommit: true}, lossySplit},
+		{CheckOldPrimary, "NoOldPrimary", Defects{AckAtCommit: true, AnyPrimary: true}, lossySplit},
+		{CheckReadYourWrites, "ReadYourWrites", Defects{StaleIndex: true}, splitPrimary},
+		{CheckLinearizable, "Linearizable", Defects{StaleIndex: true}, splitPrimary},
+		{CheckTerms, "TermsForward", Defects{AnyPrimary: true}, oldPrimaryReturns},
+		{CheckTerms, "TermsForward by upstreams", Defects{AcceptAnyTerm: true}, promoteWithoutMajority},
+		{CheckRecovered, "Recovered", Defects{NoDriver: true}, crashPrimary},
+		{CheckRepaired, "Repaired", Defects{NoDriver: true}, prepareOneReplica},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			err := tt.check(history(t, busyWorld(tt.broken), tt.script))
+			err := tt.check(runScript(t, newTestConfig(tt.defects), tt.script))
 			assert.Assert(t, err != nil, "the checker accepts a history with the defect")
 			t.Log(err)
-			assert.NilError(t, CheckAll(history(t, busyWorld(Broken{}), tt.script)))
+			assert.NilError(t, CheckAll(runScript(t, newTestConfig(Defects{}), tt.script)))
 		})
 	}
 }
 
-// sameTerm acts like a driver that promotes without a majority.
-func sameTerm(w *World) {
+// promoteWithoutMajority acts like a driver that promotes without a majority.
+func promoteWithoutMajority(sim *Simulation) {
 	for _, id := range []core.UpstreamID{"u2", "u3"} {
-		_, _ = w.Group.Remote("vm-b", id).Promote(w.ctx, 9)
+		_, _ = sim.Group.Remote("vm-b", id).Promote(sim.ctx, 9)
 	}
 	time.Sleep(8 * time.Second)
 }
 
-// strayReplica acts like a driver that failed after it had prepared one replica.
-func strayReplica(w *World) {
-	_, _ = w.Group.Remote("vm-b", "u3").Prepare(w.ctx, 9)
+// prepareOneReplica acts like a driver that failed after it had prepared one replica.
+func prepareOneReplica(sim *Simulation) {
+	_, _ = sim.Group.Remote("vm-b", "u3").Prepare(sim.ctx, 9)
 	time.Sleep(8 * time.Second)
 }
--- a/matrix/client.go
+++ b/matrix/client.go
@@ -18,61 +18,61 @@
 var keys = []string{"x", "y"}
 
 // startClients starts the writers and readers of each entry VM.
-func (w *World) startClients(ctx context.Context) {
+func (sim *Simulation) startClients(ctx context.Context) {
 	n := 0
-	for _, v := range w.vms {
-		for i := range w.cfg.Clients {
+	for _, v := range sim.vms {
+		for i := range sim.cfg.Clients {
 			key := keys[i%len(keys)]
-			for _, f := range []func(context.Context, *vm, int, string){w.write, w.read} {
+			for _, f := range []func(context.Context, *vm, int, string){sim.write, sim.read} {
 				n++
-				w.client(ctx, v, n, key, f)
+				sim.client(ctx, v, n, key, f)
 			}
 		}
 	}
 }
 
-func (w *World) client(ctx context.Context, v *vm, n int, key string, f func(context.Context, *vm, int, string)) {
-	w.clients.Add(1)
-	w.run(ctx, func(ctx context.Context) error {
-		defer w.clients.Done()
+func (sim *Simulation) client(ctx context.Context, v *vm, n int, key string, op func(context.Context, *vm, int, string)) {
+	sim.clients.Add(1)
+	sim.run(ctx, func(ctx context.Context) error {
+		defer sim.clients.Done()
 		for {
 			select {
-			case <-w.halt:
+			case <-sim.stopClients:
 				return nil
-			case <-time.After(w.pauseTime()):
+			case <-time.After(sim.pauseTime()):
 			}
-			w.observe(v)
-			f(ctx, v, n, key)
+			sim.observe(v)
+			op(ctx, v, n, key)
 		}
 	})
 }
 
 // pauseTime returns a random time until a client's next operation.
-func (w *World) pauseTime() time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	every := w.cfg.Every
-	if time.Now().After(w.busyUntil) {
+func (sim *Simulation) pauseTime() time.Duration {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	every := sim.cfg.Every
+	if time.Now().After(sim.busyUntil) {
 		every *= 5
 	}
-	return every/2 + time.Duration(w.random.Int64N(int64(every)))
+	return every/2 + time.Duration(sim.random.Int64N(int64(every)))
 }
 
 // observe records the entry VM's view of the primary.
-func (w *World) observe(v *vm) {
-	id, term, ok := w.primary(v)
+func (sim *Simulation) observe(v *vm) {
+	id, term, ok := sim.primary(v)
 	if !ok {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.sightings = append(w.sightings, Sighting{
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.observations = append(sim.observations, Observation{
 		At: time.Now(), Site: v.site, Primary: id, Term: term, Confirmed: v.view.Confirmed(),
 	})
 }
 
-func (w *World) primary(v *vm) (core.UpstreamID, core.Term, bool) {
-	if !w.cfg.Broken.AnyPrimary {
+func (sim *Simulation) primary(v *vm) (core.UpstreamID, core.Term, bool) {
+	if !sim.cfg.Defects.AnyPrimary {
 		return v.view.Primary()
 	}
 	for _, r := range v.view.Reports() {
@@ -84,53 +84,53 @@
 }
 
 // write commits a new value and waits until it is confirmed.
-func (w *World) write(ctx context.Context, v *vm, client int, key string) {
-	id, _, ok := w.primary(v)
+func (sim *Simulation) write(ctx context.Context, v *vm, client int, key string) {
+	id, _, ok := sim.primary(v)
 	if !ok {
 		return
 	}
 	op := Op{Client: client, Site: v.site, Key: key, Write: true, Start: time.Now()}
-	w.mu.Lock()
-	w.next++
-	op.Value = w.next
-	w.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, w.cfg.WriteDeadline)
+	sim.mu.Lock()
+	sim.lastValue++
+	op.Value = sim.lastValue
+	sim.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, sim.cfg.WriteDeadline)
 	defer cancel()
-	p, err := w.Group.Remote(v.site, id).Write(ctx, key, op.Value)
+	p, err := sim.Group.Remote(v.site, id).Write(ctx, key, op.Value)
 	if errors.Is(err, fakes.ErrReadOnly) || errors.Is(err, syscall.ECONNREFUSED) {
 		v.view.Suspect(id)
 		return
 	}
 	op.Position = p
-	if err == nil && !w.cfg.Broken.AckAtCommit {
+	if err == nil && !sim.cfg.Defects.AckAtCommit {
 		err = v.view.Confirm(ctx, p)
 	}
 	op.Done = err == nil
 	op.End = time.Now()
-	w.add(op)
+	sim.addOp(op)
 }
 
 // read reads at a read index from an upstream that has applied that position.
-func (w *World) read(ctx context.Context, v *vm, client int, key string) {
+func (sim *Simulation) read(ctx context.Context, v *vm, client int, key string) {
 	op := Op{Client: client, Site: v.site, Key: key, Start: time.Now()}
 	ctx, cancel := context.WithTimeout(ctx, readDeadline)
 	defer cancel()
-	p, err := w.index(ctx, v)
+	p, err := sim.readIndex(ctx, v)
 	if err != nil {
 		return
 	}
 	op.Position = p
-	op.Value, err = w.readAt(ctx, v, key, p)
+	op.Value, err = sim.readAt(ctx, v, key, p)
 	if err != nil {
 		return
 	}
 	op.Done = true
 	op.End = time.Now()
-	w.add(op)
+	sim.addOp(op)
 }
 
-func (w *World) index(ctx context.Context, v *vm) (core.Position, error) {
-	if !w.cfg.Broken.StaleIndex {
+func (sim *Simulation) readIndex(ctx context.Context, v *vm) (core.Position, error) {
+	if !sim.cfg.Defects.StaleIndex {
 		return v.view.ReadIndex(ctx)
 	}
 	id, _, ok := v.view.Primary()
@@ -143,12 +143,12 @@
 
 // readAt reads from a random upstream if that applies the position in a short time, and otherwise from the
 // primary.
-func (w *World) readAt(ctx context.Context, v *vm, key string, p core.Position) (int, error) {
-	id := w.target()
+func (sim *Simulation) readAt(ctx context.Context, v *vm, key string, p core.Position) (int, error) {
+	id := sim.randomUpstream()
 	short, cancel := context.WithTimeout(ctx, readDeadline/4)
 	defer cancel()
 	if err := v.view.WaitApplied(short, id, p); err == nil {
-		if value, err := w.Group.Remote(v.site, id).ReadAt(short, key, p); err == nil {
+		if value, err := sim.Group.Remote(v.site, id).ReadAt(short, key, p); err == nil {
 			return value, nil
 		}
 	}
@@ -156,11 +156,11 @@
 	if !ok {
 		return 0, fmt.Errorf("no primary for a read at %s", p)
 	}
-	return w.Group.Remote(v.site, primary).ReadAt(ctx, key, p)
+	return sim.Group.Remote(v.site, primary).ReadAt(ctx, key, p)
 }
 
-func (w *World) add(op Op) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.history = append(w.history, op)
+func (sim *Simulation) addOp(op Op) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.ops = append(sim.ops, op)
 }
--- a/matrix/fault.go
+++ b/matrix/fault.go
@@ -51,125 +51,125 @@
 
 // Durations of faults.
 const (
-	faultTime  = 5 * time.Second
-	freezeTime = time.Minute
-	lapseTime  = 15 * time.Second
+	faultDuration  = 5 * time.Second
+	freezeDuration = time.Minute
+	lapseDuration  = 15 * time.Second
 	// slowFactor multiplies the processing time.
 	slowFactor = 10
-	// lateTime is longer than the timeout of a control call.
-	lateTime = 700 * time.Millisecond
-	// lostAnswers is the number of answers that a fault drops or delays.
-	lostAnswers = 3
+	// answerDelay is longer than the timeout of a control call.
+	answerDelay = 700 * time.Millisecond
+	// affectedAnswers is the number of answers that a fault drops or delays.
+	affectedAnswers = 3
 )
 
 // inject begins the fault and schedules its end. It returns how long the calling driver must pause.
-func (w *World) inject(f Fault, step elect.Step, site string) time.Duration {
-	heal, pause := faultTime, time.Duration(0)
+func (sim *Simulation) inject(f Fault, step elect.Step, site string) time.Duration {
+	duration, pause := faultDuration, time.Duration(0)
 	switch f {
 	case FaultFreeze:
-		heal = freezeTime
+		duration = freezeDuration
 	case FaultPause:
-		pause = freezeTime
+		pause = freezeDuration
 	case FaultLeaseLapsed:
-		pause = lapseTime
+		pause = lapseDuration
 	case FaultAnswerLost:
-		w.faultAnswers(step, fakes.AnswerFault{Lost: true})
+		sim.setAnswerFault(step, fakes.AnswerFault{Lost: true})
 	case FaultAnswerLate:
-		w.faultAnswers(step, fakes.AnswerFault{Late: lateTime})
+		sim.setAnswerFault(step, fakes.AnswerFault{Late: answerDelay})
 	}
-	if set := w.lasting(f, w.target(), site); set != nil {
+	if set := sim.faultSwitch(f, sim.randomUpstream(), site); set != nil {
 		set(true)
-		w.later(heal, func() { set(false) })
+		sim.scheduleFaultEnd(duration, func() { set(false) })
 	}
-	w.noteConnected()
-	w.busy()
-	w.extend(max(heal, pause))
+	sim.recordConnected()
+	sim.setBusy()
+	sim.extendFaults(max(duration, pause))
 	return pause
 }
 
-// lasting returns the function that begins and ends a fault, or nil if the fault isn't switched on and
+// faultSwitch returns the function that begins and ends a fault, or nil if the fault isn't switched on and
 // off.
-func (w *World) lasting(f Fault, target core.UpstreamID, site string) func(on bool) {
+func (sim *Simulation) faultSwitch(f Fault, target core.UpstreamID, site string) func(on bool) {
 	switch f {
 	case FaultKill:
-		return func(on bool) { w.Group.SetDown(target, on) }
+		return func(on bool) { sim.Group.SetDown(target, on) }
 	case FaultCutIn:
-		return func(on bool) { w.cutIn(string(target), on) }
+		return func(on bool) { sim.cutIn(string(target), on) }
 	case FaultCutOut:
-		return func(on bool) { w.Group.CutOutgoing(target, on, w.Sites()...) }
+		return func(on bool) { sim.Group.CutOutgoing(target, on, sim.Sites()...) }
 	case FaultCutBoth:
-		return func(on bool) { w.Group.Isolate(target, on, w.Sites()...) }
+		return func(on bool) { sim.Group.Isolate(target, on, sim.Sites()...) }
 	case FaultCutVM:
-		return func(on bool) { w.cutVM(site, on) }
+		return func(on bool) { sim.cutVM(site, on) }
 	case FaultFreeze:
-		return func(on bool) { w.Group.SetFrozen(target, on) }
+		return func(on bool) { sim.Group.SetFrozen(target, on) }
 	case FaultSlow:
-		return w.slow
+		return sim.setSlow
 	case FaultPlatformDown:
-		return w.Store.SetDown
+		return sim.Store.SetDown
 	case FaultPlatformSlow:
-		return w.slowStore
+		return sim.setStoreSlow
 	default:
 		return nil
 	}
 }
 
-// target returns a random upstream.
-func (w *World) target() core.UpstreamID {
-	ids := w.Group.IDs()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return ids[w.random.IntN(len(ids))]
+// randomUpstream returns a random upstream.
+func (sim *Simulation) randomUpstream() core.UpstreamID {
+	ids := sim.Group.IDs()
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return ids[sim.random.IntN(len(ids))]
 }
 
-func (w *World) cutIn(id string, cut bool) {
-	for _, place := range w.places() {
-		if place != id {
-			w.Group.Cut(place, id, cut)
+func (sim *Simulation) cutIn(id string, cut bool) {
+	for _, endpoint := range sim.endpoints() {
+		if endpoint != id {
+			sim.Group.Cut(endpoint, id, cut)
 		}
 	}
 }
 
-func (w *World) cutVM(site string, cut bool) {
-	for _, id := range w.Group.IDs() {
-		w.Group.Cut(site, string(id), cut)
-		w.Group.Cut(string(id), site, cut)
+func (sim *Simulation) cutVM(site string, cut bool) {
+	for _, id := range sim.Group.IDs() {
+		sim.Group.Cut(site, string(id), cut)
+		sim.Group.Cut(string(id), site, cut)
 	}
 }
 
-func (w *World) slow(on bool) {
+func (sim *Simulation) setSlow(on bool) {
 	factor := 1
 	if on {
 		factor = slowFactor
 	}
-	for _, id := range w.Group.IDs() {
-		w.Group.Slow(id, factor)
+	for _, id := range sim.Group.IDs() {
+		sim.Group.Slow(id, factor)
 	}
 }
 
-func (w *World) slowStore(on bool) {
+func (sim *Simulation) setStoreSlow(on bool) {
 	delay := time.Duration(0)
 	if on {
-		delay = faultTime
+		delay = faultDuration
 	}
-	w.Store.SetDelay(delay)
+	sim.Store.SetDelay(delay)
 }
 
-// faultAnswers applies the fault to answers to the calls that the step makes.
-func (w *World) faultAnswers(step elect.Step, f fakes.AnswerFault) {
+// setAnswerFault applies the fault to answers to the calls that the step makes.
+func (sim *Simulation) setAnswerFault(step elect.Step, f fakes.AnswerFault) {
 	switch step {
 	case elect.StepDrain, elect.StepPrepare:
-		w.Group.SetAnswerFault(fakes.CallPrepare, "", lostAnswers, f)
+		sim.Group.SetAnswerFault(fakes.CallPrepare, "", affectedAnswers, f)
 	case elect.StepPromote:
-		w.Group.SetAnswerFault(fakes.CallPromote, "", lostAnswers, f)
+		sim.Group.SetAnswerFault(fakes.CallPromote, "", affectedAnswers, f)
 	case elect.StepFollow, elect.StepRepair:
-		w.Group.SetAnswerFault(fakes.CallFollow, "", lostAnswers, f)
+		sim.Group.SetAnswerFault(fakes.CallFollow, "", affectedAnswers, f)
 	case elect.StepLease:
-		w.Store.LoseAnswers(lostAnswers)
+		sim.Store.LoseAnswers(affectedAnswers)
 	case elect.StepRelease:
 		// With more lost answers, the next change would get no lease and not reach this step.
-		w.Store.LoseAnswers(1)
+		sim.Store.LoseAnswers(1)
 	default:
-		w.Group.SetAnswerFault(fakes.CallStatus, "", lostAnswers, f)
+		sim.Group.SetAnswerFault(fakes.CallStatus, "", affectedAnswers, f)
 	}
 }
--- a/matrix/gap.go
+++ b/matrix/gap.go
@@ -48,7 +48,7 @@
 // WriteGap returns the longest time between successive acknowledged writes of the history.
 func WriteGap(h History) time.Duration {
 	var ends []time.Time
-	for _, op := range acknowledged(h) {
+	for _, op := range acknowledgedWrites(h) {
 		ends = append(ends, op.End)
 	}
 	slices.SortFunc(ends, time.Time.Compare)
--- a/matrix/gap_test.go
+++ b/matrix/gap_test.go
@@ -17,10 +17,10 @@
 
 // Guards against a failover gap of 2 s, the target, or more at p99.
 func TestFailoverGap(t *testing.T) {
-	faults := map[string]func(w *World, id core.UpstreamID){
-		"Kill":    func(w *World, id core.UpstreamID) { w.Group.Kill(id) },
-		"Isolate": func(w *World, id core.UpstreamID) { w.Group.Isolate(id, true, w.Sites()...) },
-		"Freeze":  func(w *World, id core.UpstreamID) { w.Group.Freeze(id) },
+	faults := map[string]func(sim *Simulation, id core.UpstreamID){
+		"Kill":    func(sim *Simulation, id core.UpstreamID) { sim.Group.Kill(id) },
+		"Isolate": func(sim *Simulation, id core.UpstreamID) { sim.Group.Isolate(id, true, sim.Sites()...) },
+		"Freeze":  func(sim *Simulation, id core.UpstreamID) { sim.Group.Freeze(id) },
 	}
 	for name, fault := range faults {
 		for _, delay := range []time.Duration{500 * time.Microsecond, 12 * time.Millisecond} {
@@ -36,23 +36,23 @@
 	}
 }
 
-func measureGaps(t *testing.T, delay time.Duration, down bool, fault func(*World, core.UpstreamID)) *Gaps {
+func measureGaps(t *testing.T, delay time.Duration, down bool, fault func(*Simulation, core.UpstreamID)) *Gaps {
 	gaps := &Gaps{}
 	for seed := range *gapRuns {
 		// The deadline is short since it adds up to its own length to the measured gap.
-		cfg := WorldConfig{
+		cfg := SimulationConfig{
 			Seed: seed, Delay: delay, Clients: 1, Every: 20 * time.Millisecond, WriteDeadline: 100 * time.Millisecond,
 		}
 		synctest.Test(t, func(t *testing.T) {
-			w := NewWorld(cfg)
-			w.Store.SetDown(down)
-			time.Sleep(warmTime + time.Duration(rand.New(rand.NewPCG(seed, 3)).Int64N(int64(200*time.Millisecond))))
-			w.busy()
-			fault(w, "u1")
-			time.Sleep(busyTime)
-			w.Group.Heal()
-			time.Sleep(busyTime / 2)
-			h := w.Close()
+			sim := NewSimulation(cfg)
+			sim.Store.SetDown(down)
+			time.Sleep(warmUpTime + time.Duration(rand.New(rand.NewPCG(seed, 3)).Int64N(int64(200*time.Millisecond))))
+			sim.setBusy()
+			fault(sim, "u1")
+			time.Sleep(fullRateTime)
+			sim.Group.Heal()
+			time.Sleep(fullRateTime / 2)
+			h := sim.Close()
 			if len(h.Changes) != 1 {
 				t.Errorf("seed %d: %d changes: %+v", seed, len(h.Changes), h.Changes)
 				return
@@ -69,47 +69,47 @@
 // Guards against a change of primary because an upstream is 10 times slower, frozen or isolated for less
 // than 1 s.
 func TestShortFaultsKeepPrimary(t *testing.T) {
-	shortFaults := map[string]func(w *World, id core.UpstreamID, on bool){
-		"Slow": func(w *World, id core.UpstreamID, on bool) {
+	shortFaults := map[string]func(sim *Simulation, id core.UpstreamID, on bool){
+		"Slow": func(sim *Simulation, id core.UpstreamID, on bool) {
 			factor := 1
 			if on {
 				factor = slowFactor
 			}
-			w.Group.Slow(id, factor)
+			sim.Group.Slow(id, factor)
 		},
-		"Freeze":  func(w *World, id core.UpstreamID, on bool) { w.Group.SetFrozen(id, on) },
-		"Isolate": func(w *World, id core.UpstreamID, on bool) { w.Group.Isolate(id, on, w.Sites()...) },
+		"Freeze":  func(sim *Simulation, id core.UpstreamID, on bool) { sim.Group.SetFrozen(id, on) },
+		"Isolate": func(sim *Simulation, id core.UpstreamID, on bool) { sim.Group.Isolate(id, on, sim.Sites()...) },
 	}
 	for name, fault := range shortFaults {
 		for _, delay := range []time.Duration{500 * time.Microsecond, 12 * time.Millisecond} {
 			t.Run(fmt.Sprintf("%s/%s", name, delay), func(t *testing.T) {
 				t.Parallel()
-				changes, spells := hourOfFaults(t, delay, fault)
-				t.Logf("%d changes of primary with %d short faults in a simulated hour", changes, spells)
+				changes, faults := runHourOfFaults(t, delay, fault)
+				t.Logf("%d changes of primary with %d short faults in a simulated hour", changes, faults)
 				assert.Equal(t, changes, 0)
 			})
 		}
 	}
 }
 
-func hourOfFaults(t *testing.T, delay time.Duration, fault func(*World, core.UpstreamID, bool)) (int, int) {
+func runHourOfFaults(t *testing.T, delay time.Duration, fault func(*Simulation, core.UpstreamID, bool)) (int, int) {
 	var h History
-	spells := 0
+	faults := 0
 	synctest.Test(t, func(*testing.T) {
-		w := NewWorld(WorldConfig{Seed: 9, Delay: delay, Processing: 5 * time.Millisecond, Clients: 1, Every: 2 * time.Second})
+		sim := NewSimulation(SimulationConfig{Seed: 9, Delay: delay, Processing: 5 * time.Millisecond, Clients: 1, Every: 2 * time.Second})
 		random := rand.New(rand.NewPCG(9, 4))
-		time.Sleep(warmTime)
-		for end := time.Now().Add(time.Hour); time.Now().Before(end); spells++ {
+		time.Sleep(warmUpTime)
+		for end := time.Now().Add(time.Hour); time.Now().Before(end); faults++ {
 			// About two thirds of the faults affect u1, the primary.
-			id := w.Group.IDs()[random.IntN(2)*random.IntN(3)]
-			fault(w, id, true)
+			id := sim.Group.IDs()[random.IntN(2)*random.IntN(3)]
+			fault(sim, id, true)
 			time.Sleep(time.Duration(random.Int64N(int64(999 * time.Millisecond))))
-			fault(w, id, false)
+			fault(sim, id, false)
 			// Without this pause, successive faults could act like one of more than 1 s.
 			time.Sleep(500*time.Millisecond + time.Duration(random.Int64N(int64(4*time.Second))))
 		}
-		h = w.Close()
+		h = sim.Close()
 	})
 	assert.NilError(t, CheckAcknowledged(h))
-	return len(h.Reigns) - 1, spells
+	return len(h.PrimariesByTerm) - 1, faults
 }
--- a/matrix/history.go
+++ b/matrix/history.go
@@ -22,8 +22,8 @@
 	Done       bool
 }
 
-// Sighting is an entry VM's view of the primary and the confirmed position at one time.
-type Sighting struct {
+// Observation is an entry VM's view of the primary and the confirmed position at one time.
+type Observation struct {
 	At        time.Time
 	Site      string
 	Primary   core.UpstreamID
@@ -31,19 +31,19 @@
 	Confirmed core.Position
 }
 
-// Connection records whether a majority was connected, from At until the next Connection.
-type Connection struct {
+// Connectivity records whether a majority was connected, from At until the next Connectivity.
+type Connectivity struct {
 	At       time.Time
 	Majority bool
 }
 
 // History is the record of a run that the checkers use.
 type History struct {
-	Ops       []Op
-	Sightings []Sighting
-	Connected []Connection
-	Changes   []elect.Change
-	Reigns    map[core.Term][]core.UpstreamID
+	Ops             []Op
+	Observations    []Observation
+	Connected       []Connectivity
+	Changes         []elect.Change
+	PrimariesByTerm map[core.Term][]core.UpstreamID
 	// Logs and States are the logs and statuses of the upstreams at the end.
 	Logs   map[core.UpstreamID][]fakes.Entry
 	States map[core.UpstreamID]core.UpstreamStatus
@@ -52,24 +52,24 @@
 	End     time.Time
 }
 
-// record returns the history so far.
-func (w *World) record() History {
+// takeHistory returns the history so far.
+func (sim *Simulation) takeHistory() History {
 	h := History{
-		Reigns:  w.Group.PrimariesByTerm(),
-		Logs:    make(map[core.UpstreamID][]fakes.Entry),
-		States:  make(map[core.UpstreamID]core.UpstreamStatus),
-		Primary: w.Primary(),
-		End:     time.Now(),
+		PrimariesByTerm: sim.Group.PrimariesByTerm(),
+		Logs:            make(map[core.UpstreamID][]fakes.Entry),
+		States:          make(map[core.UpstreamID]core.UpstreamStatus),
+		Primary:         sim.Primary(),
+		End:             time.Now(),
 	}
-	for _, id := range w.Group.IDs() {
-		h.Logs[id] = w.Group.Log(id)
-		h.States[id] = w.Group.State(id)
+	for _, id := range sim.Group.IDs() {
+		h.Logs[id] = sim.Group.Log(id)
+		h.States[id] = sim.Group.State(id)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	h.Ops = append([]Op(nil), w.history...)
-	h.Sightings = append([]Sighting(nil), w.sightings...)
-	h.Connected = append([]Connection(nil), w.connected...)
-	h.Changes = append([]elect.Change(nil), w.changes...)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	h.Ops = append([]Op(nil), sim.ops...)
+	h.Observations = append([]Observation(nil), sim.observations...)
+	h.Connected = append([]Connectivity(nil), sim.connected...)
+	h.Changes = append([]elect.Change(nil), sim.changes...)
 	return h
 }
--- a/matrix/matrix_test.go
+++ b/matrix/matrix_test.go
@@ -24,7 +24,7 @@
 				t.Parallel()
 				var h History
 				var err error
-				synctest.Test(t, func(*testing.T) { h, err = c.Run(cellWorld(c.Seed)) })
+				synctest.Test(t, func(*testing.T) { h, err = c.Run(newCellConfig(c.Seed)) })
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
@@ -41,12 +41,12 @@
 	fmt.Printf("%d passed, %d failed\n", passed.Load(), failed.Load())
 }
 
-// cellWorld returns a configuration with delays and replication lag that depend on the seed.
-func cellWorld(seed uint64) WorldConfig {
+// newCellConfig returns a configuration with delays and replication lag that depend on the seed.
+func newCellConfig(seed uint64) SimulationConfig {
 	random := rand.New(rand.NewPCG(seed, 2))
 	delays := []time.Duration{500 * time.Microsecond, 1500 * time.Microsecond, 12 * time.Millisecond}
 	lags := []time.Duration{0, 20 * time.Millisecond, 200 * time.Millisecond}
-	return WorldConfig{
+	return SimulationConfig{
 		Delay: delays[random.IntN(len(delays))], Lag: lags[random.IntN(len(lags))],
 		Clients: 2, Every: 100 * time.Millisecond,
 	}
--- a/matrix/strike_test.go
+++ b/matrix/timed_fault_test.go
@@ -11,7 +11,7 @@
 	"snipewall/core/elect"
 )
 
-var strikeRuns = flag.Int("matrix.strikes", 4, "parallel searches of 20 generated runs each")
+var searchCount = flag.Int("matrix.strikes", 4, "parallel searches of 20 generated runs each")
 
 // Guards against violations of the guarantees by faults that overlap, repeat and begin at any time, while
 // the matrix injects them only at steps.
@@ -21,16 +21,16 @@
 			t.Fatal(err)
 		}
 	}
-	for range *strikeRuns {
+	for range *searchCount {
 		t.Run("Search", func(t *testing.T) {
 			t.Parallel()
 			rapid.Check(t, func(rt *rapid.T) {
 				size := rapid.SampledFrom([]int{3, 3, 5}).Draw(rt, "size")
-				cfg := cellWorld(rapid.Uint64().Draw(rt, "seed"))
+				cfg := newCellConfig(rapid.Uint64().Draw(rt, "seed"))
 				cfg.Size = size
-				strikes := rapid.SliceOfN(strikeOf(size), 1, 8).Draw(rt, "strikes")
+				faults := rapid.SliceOfN(genFault(size), 1, 8).Draw(rt, "strikes")
 				var h History
-				synctest.Test(t, func(*testing.T) { h = Play(cfg, strikes) })
+				synctest.Test(t, func(*testing.T) { h = RunFaults(cfg, faults) })
 				if err := CheckAll(h); err != nil {
 					rt.Fatalf("%v\nchanges: %+v", err, h.Changes)
 				}
@@ -39,19 +39,19 @@
 	}
 }
 
-// strikeOf generates faults for a group of the size.
-func strikeOf(size int) *rapid.Generator[Strike] {
-	return rapid.Custom(func(t *rapid.T) Strike {
+// genFault generates faults for a group of the size.
+func genFault(size int) *rapid.Generator[TimedFault] {
+	return rapid.Custom(func(t *rapid.T) TimedFault {
 		ms := func(name string, most int) time.Duration {
 			return time.Duration(rapid.IntRange(1, most).Draw(t, name)) * time.Millisecond
 		}
-		return Strike{
-			Wait:   ms("wait", 4000),
-			Fault:  rapid.SampledFrom(Faults()).Draw(t, "fault"),
-			Target: rapid.IntRange(0, size-1).Draw(t, "target"),
-			Site:   rapid.IntRange(0, 1).Draw(t, "site"),
-			Lasts:  ms("lasts", 9000),
-			Step:   rapid.SampledFrom(elect.Steps()).Draw(t, "step"),
+		return TimedFault{
+			Wait:     ms("wait", 4000),
+			Fault:    rapid.SampledFrom(Faults()).Draw(t, "fault"),
+			Target:   rapid.IntRange(0, size-1).Draw(t, "target"),
+			Site:     rapid.IntRange(0, 1).Draw(t, "site"),
+			Duration: ms("lasts", 9000),
+			Step:     rapid.SampledFrom(elect.Steps()).Draw(t, "step"),
 		}
 	})
 }
