--- a/core/elect/assess.go
+++ b/core/elect/assess.go
@@ -137,7 +137,7 @@
 	a.ready = d.hasLasted(now, a.since, limit, reports)
 }
 
-// hasLasted reports whether the failure has hasLasted for the limit and no replica vetoes the change. A
+// hasLasted reports whether the failure has lasted for the limit and no replica vetoes the change. A
 // veto counts up to VetoTimeout only.
 func (d *Driver) hasLasted(now, since time.Time, limit time.Duration, reports []quorum.Report) bool {
 	since = latest(since, d.watchingSince)
