--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -106,7 +106,8 @@
 	vms int
 	// upstream holds extra flags for the upstreams.
 	upstream []string
-	// callers holds extra lines for the section Callers of the entry VMs' settings, settings extra sections.
+	// callers holds extra lines for the section Callers of the entry VMs' settings, and settings holds extra
+	// sections.
 	callers, settings string
 	// links inserts a linkProxy between each entry VM and each upstream.
 	links bool
@@ -307,7 +308,7 @@
 	}
 }
 
-// primary returns the index of the primary that the first entry VM to know one names.
+// primary returns the index of the group's primary according to the first entry VM that knows one.
 func (c *cluster) primary() (int, error) {
 	for _, vm := range c.vms {
 		var status struct{ Primaries map[string]string }
@@ -355,8 +356,8 @@
 	blockCount = 5
 )
 
-// blockLock is the listener that reserves the block of ports. It is a global variable since the garbage
-// collector closes an unreferenced listener.
+// blockLock is the listener that reserves the block of ports. It is kept in a global variable, since the
+// garbage collector would close an unreferenced listener.
 var blockLock net.Listener
 
 // portBlock returns the first port of a block that no other test binary uses. A listener on the block's
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -324,7 +324,8 @@
 	mustExec(t, c.connect(c.vms[2]), "create table sessions (id int8 primary key)")
 }
 
-// Guards against wrong error codes for invalid input, and against a listener that fails after it.
+// Guards against errors whose code or text doesn't tell what is wrong with the input, and against a listener
+// that fails after invalid input.
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
--- a/e2e/isolation_test.go
+++ b/e2e/isolation_test.go
@@ -15,10 +15,13 @@
 // an old primary that does not rejoin as a replica after the partition.
 func TestIsolatedPrimary(t *testing.T) {
 	tests := []struct {
-		name        string
-		directions  []int
-		fault       string
-		domain      bool
+		name string
+		// directions are the directions in which the traffic between the primary and entry VMs is held back.
+		directions []int
+		// fault is the value of the fault "cut" of the primary's simulator.
+		fault string
+		// withDomain is set if the entry VMs in the primary's failure domain are isolated together with it.
+		withDomain  bool
 		repetitions int
 		// platform is the name of a fault of the platform during the partition, value its value.
 		platform, value string
@@ -27,7 +30,7 @@
 		primaryStays bool
 	}{
 		{name: "from other failure domains", directions: []int{toUpstream, fromUpstream}, fault: "upstreams", repetitions: 1},
-		{name: "with its failure domain, platform down", directions: []int{toUpstream, fromUpstream}, fault: "upstreams", domain: true, repetitions: 1, platform: "down", value: "true"},
+		{name: "with its failure domain, platform down", directions: []int{toUpstream, fromUpstream}, fault: "upstreams", withDomain: true, repetitions: 1, platform: "down", value: "true"},
 		{name: "answers only", directions: []int{fromUpstream}, fault: "upstreams:out", repetitions: 1},
 		{name: "requests only, platform slow", directions: []int{toUpstream}, fault: "upstreams:in", repetitions: 1, platform: "slow", value: "3s", primaryStays: true},
 		{name: "twice in a row", directions: []int{toUpstream, fromUpstream}, fault: "upstreams", repetitions: 2},
@@ -44,7 +47,7 @@
 				}
 				for range tt.repetitions {
 					old := mustPrimaryByStatus(t, c)
-					c.isolate(old, tt.domain, tt.fault, tt.directions)
+					c.isolate(old, tt.withDomain, tt.fault, tt.directions)
 					time.Sleep(2500 * time.Millisecond)
 					c.mustWriteOutside(old)
 					time.Sleep(1500 * time.Millisecond)
@@ -53,8 +56,8 @@
 					}
 					c.fault(old, "cut", "off")
 					for _, row := range c.links {
-						for _, w := range row {
-							w.heal()
+						for _, link := range row {
+							link.heal()
 						}
 					}
 					c.awaitReplication()
@@ -75,8 +78,8 @@
 }
 
 // isolate partitions an upstream from the other upstreams and from the entry VMs outside of its failure
-// domain. If domain is set, it partitions the entry VMs in its domain from the other upstreams as well.
-func (c *cluster) isolate(i int, domain bool, fault string, directions []int) {
+// domain. If withDomain is set, it partitions the entry VMs in its domain from the other upstreams as well.
+func (c *cluster) isolate(i int, withDomain bool, fault string, directions []int) {
 	c.fault(i, "cut", fault)
 	for n, vm := range c.vms {
 		if vm.domain != fmt.Sprintf("domain-%d", i+1) {
@@ -84,14 +87,14 @@
 			continue
 		}
 		for j := range c.upstreams {
-			if domain && j != i {
+			if withDomain && j != i {
 				c.links[n][j].cut(directions...)
 			}
 		}
 	}
 }
 
-// primaryByStatus returns the upstream that reports to be the primary of the highest term.
+// primaryByStatus returns the index of the upstream that reports the role of primary in the highest term.
 func (c *cluster) primaryByStatus() (int, error) {
 	best, term := -1, core.Term(0)
 	for i := range c.upstreams {
--- a/e2e/leaving_test.go
+++ b/e2e/leaving_test.go
@@ -24,7 +24,8 @@
 	kind       string
 	reads      int
 	longestGap time.Duration
-	failed     error
+	// err is set if a read returned the value of another one.
+	err error
 }
 
 func (r *reader) run(ctx context.Context) {
@@ -41,7 +42,7 @@
 		err := conn.QueryRow(readCtx, "select $1::int8", want).Scan(&got)
 		cancel()
 		if err == nil && got != want {
-			r.failed = fmt.Errorf("read %d, got %d", want, got)
+			r.err = fmt.Errorf("read %d, got %d", want, got)
 			return
 		}
 		if err == nil {
@@ -123,13 +124,14 @@
 				assert.Assert(t, w.longestGap < 2*time.Second, "writes stopped for %v", w.longestGap)
 			}
 			for _, r := range readers {
-				assert.NilError(t, r.failed)
+				assert.NilError(t, r.err)
 				assert.Assert(t, r.longestGap < 2*time.Second, "reads stopped for %v", r.longestGap)
 			}
 		})
 	}
 }
 
+// listLeaving marks the upstream as leaving in the platform's list of VMs.
 func (c *cluster) listLeaving(i int) {
 	c.put("/v1/vms/"+upstreamID(i)+"-vm?leaving=true", nil)
 }
--- a/e2e/link_test.go
+++ b/e2e/link_test.go
@@ -36,60 +36,60 @@
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	w := &linkProxy{address: ln.Addr().String(), ln: ln, target: target, conns: make(map[net.Conn]bool)}
-	for i := range w.open {
-		w.open[i] = make(chan struct{})
-		close(w.open[i])
+	p := &linkProxy{address: ln.Addr().String(), ln: ln, target: target, conns: make(map[net.Conn]bool)}
+	for i := range p.open {
+		p.open[i] = make(chan struct{})
+		close(p.open[i])
 	}
 	var serving sync.WaitGroup
-	serving.Go(func() { w.serve(&serving) })
+	serving.Go(func() { p.serve(&serving) })
 	t.Cleanup(func() {
 		_ = ln.Close()
-		w.heal()
-		w.mu.Lock()
-		for c := range w.conns {
+		p.heal()
+		p.mu.Lock()
+		for c := range p.conns {
 			_ = c.Close()
 		}
-		w.mu.Unlock()
+		p.mu.Unlock()
 		serving.Wait()
 	})
-	return w
+	return p
 }
 
-func (w *linkProxy) serve(serving *sync.WaitGroup) {
+func (p *linkProxy) serve(serving *sync.WaitGroup) {
 	for {
-		c, err := w.ln.Accept()
+		c, err := p.ln.Accept()
 		if err != nil {
 			return
 		}
-		serving.Go(func() { w.forward(c) })
+		serving.Go(func() { p.forward(c) })
 	}
 }
 
 // forward connects to the target and copies both directions.
-func (w *linkProxy) forward(c net.Conn) {
-	up, err := net.Dial("tcp", w.target)
+func (p *linkProxy) forward(c net.Conn) {
+	up, err := net.Dial("tcp", p.target)
 	if err != nil {
 		// The entry VM's dial has already succeeded, so that closing the connection is the nearest
 		// equivalent of refusing it.
 		_ = c.Close()
 		return
 	}
-	w.mu.Lock()
-	w.conns[c], w.conns[up] = true, true
-	w.mu.Unlock()
+	p.mu.Lock()
+	p.conns[c], p.conns[up] = true, true
+	p.mu.Unlock()
 	var copies sync.WaitGroup
-	copies.Go(func() { w.copy(up, c, toUpstream) })
-	copies.Go(func() { w.copy(c, up, fromUpstream) })
+	copies.Go(func() { p.copy(up, c, toUpstream) })
+	copies.Go(func() { p.copy(c, up, fromUpstream) })
 	copies.Wait()
-	w.mu.Lock()
-	delete(w.conns, c)
-	delete(w.conns, up)
-	w.mu.Unlock()
+	p.mu.Lock()
+	delete(p.conns, c)
+	delete(p.conns, up)
+	p.mu.Unlock()
 }
 
 // copy copies one direction until either connection ends.
-func (w *linkProxy) copy(dst, src net.Conn, direction int) {
+func (p *linkProxy) copy(dst, src net.Conn, direction int) {
 	defer func() {
 		_ = dst.Close()
 		_ = src.Close()
@@ -97,9 +97,9 @@
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(buf)
-		w.mu.Lock()
-		open := w.open[direction]
-		w.mu.Unlock()
+		p.mu.Lock()
+		open := p.open[direction]
+		p.mu.Unlock()
 		<-open
 		if n > 0 {
 			if _, err := dst.Write(buf[:n]); err != nil {
@@ -113,19 +113,19 @@
 }
 
 // cut holds back traffic in the given directions until heal, which delivers it.
-func (w *linkProxy) cut(directions ...int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (p *linkProxy) cut(directions ...int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, direction := range directions {
-		w.open[direction] = make(chan struct{})
+		p.open[direction] = make(chan struct{})
 	}
 }
 
 // heal lets traffic pass in both directions.
-func (w *linkProxy) heal() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, open := range w.open {
+func (p *linkProxy) heal() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, open := range p.open {
 		select {
 		case <-open:
 		default:
--- a/e2e/silence_test.go
+++ b/e2e/silence_test.go
@@ -42,7 +42,7 @@
 		assert.Assert(t, time.Since(w.lastAck) < failoverLimit && w.longestGap < 6*time.Second, "writes stopped for %v", w.longestGap)
 	}
 	for _, r := range readers {
-		assert.NilError(t, r.failed)
+		assert.NilError(t, r.err)
 		t.Logf("%d reads, longest gap %v", r.reads, r.longestGap)
 		assert.Assert(t, r.longestGap < 4500*time.Millisecond, "reads stopped for %v", r.longestGap)
 	}
@@ -69,7 +69,7 @@
 	})
 }
 
-// Guards against mixing up callers' answers when answers are late and requests are canceled.
+// Guards against callers that get each other's answers when answers are late and requests are canceled.
 func TestLateAnswersAndCancels(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
@@ -86,20 +86,20 @@
 		wg.Go(func() {
 			for i := int64(0); ctx.Err() == nil; i++ {
 				want := int64(n)*1_000_000 + i
-				cancelTimer := make(chan struct{})
+				cancelDone := make(chan struct{})
 				if rand.IntN(3) == 0 {
 					// The cancel request may arrive before, during or after the answer.
 					go func() {
-						defer close(cancelTimer)
+						defer close(cancelDone)
 						time.Sleep(rand.N(150 * time.Millisecond))
 						_ = conn.PgConn().CancelRequest(ctx)
 					}()
 				} else {
-					close(cancelTimer)
+					close(cancelDone)
 				}
 				var got int64
 				err := conn.QueryRow(ctx, "select $1::int8", want).Scan(&got)
-				<-cancelTimer
+				<-cancelDone
 				switch {
 				case ctx.Err() != nil:
 				case err == nil && got != want:
@@ -115,12 +115,12 @@
 		})
 	}
 	wg.Wait()
-	total, stopped := 0, 0
+	answerCount, cancelCount := 0, 0
 	for n := range answers {
 		assert.Assert(t, answers[n] > 0, "caller %d got no answer", n)
-		total += answers[n]
-		stopped += canceled[n]
+		answerCount += answers[n]
+		cancelCount += canceled[n]
 	}
-	t.Logf("%d answers, %d canceled", total, stopped)
-	assert.Assert(t, stopped > 0, "no request was canceled")
+	t.Logf("%d answers, %d canceled", answerCount, cancelCount)
+	assert.Assert(t, cancelCount > 0, "no request was canceled")
 }
--- a/e2e/tls_test.go
+++ b/e2e/tls_test.go
@@ -65,7 +65,7 @@
 		return conn, err
 	}
 	_, err := dial(c.vms[0], "sslmode=disable")
-	assert.Assert(t, sqlState(err) != "", "the error of a caller without TLS: %v", err)
+	assert.Assert(t, sqlState(err) != "", "a caller without TLS was not refused with an SQLSTATE: %v", err)
 	other, _ := certificate(t)
 	_, err = dial(c.vms[0], "sslmode=verify-full&sslrootcert="+other)
 	assert.Assert(t, err != nil, "the caller accepted a certificate that it does not trust")
