--- a/bench/overhead.go
+++ b/bench/overhead.go
@@ -24,9 +24,9 @@
 	overheadWarmUp = 500 * time.Millisecond
 	// maxLatency is the upper bound of the histograms.
 	maxLatency = 10 * time.Second
-	// clockTick is the unit of CPU times in /proc, USER_HZ on Linux.
+	// clockTick is the unit of CPU times in /proc: 1/USER_HZ, which is 1/100 s on Linux.
 	clockTick = 10 * time.Millisecond
-	// overheadSQL is the statement to measure.
+	// overheadSQL is the simple statement that is measured.
 	overheadSQL = "select captain from berths where id = 1"
 )
 
@@ -60,7 +60,7 @@
 // target is a path to the upstream.
 type target struct {
 	name, address string
-	// pids are the ids of the processes between the caller and the upstream, or 0 for none.
+	// pids are the ids of the processes between the caller and the upstream. Id 0 stands for no process.
 	pids []int
 }
 
--- a/bench/reads.go
+++ b/bench/reads.go
@@ -37,7 +37,7 @@
 // readKind is a kind of the readers' reads.
 type readKind struct {
 	kind string
-	// percentage is the part of the readers' reads that have this kind.
+	// percentage is the percentage of the readers' reads that have this kind.
 	percentage int
 	// acceptedAge is the accepted age of data in the operators' table.
 	acceptedAge time.Duration
@@ -88,6 +88,7 @@
 	ackTimes []time.Time
 }
 
+// add records that the row's next value was acknowledged now.
 func (h *rowHistory) add() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -104,6 +105,7 @@
 // routeCounts holds the read counters by rank from an entry VM's dump.
 type routeCounts struct{ ReplicaReads, PrimaryReads [core.RankCount]uint64 }
 
+// add adds other times sign. A sign of ^uint64(0), which is -1 modulo 2^64, subtracts it.
 func (c *routeCounts) add(other routeCounts, sign uint64) {
 	for rank := range core.RankCount {
 		c.ReplicaReads[rank] += sign * other.ReplicaReads[rank]
--- a/bench/surge.go
+++ b/bench/surge.go
@@ -95,7 +95,8 @@
 	return reports
 }
 
-// measureSurge runs all seeds. If base, the report without a surge, is not nil, it compares with it.
+// measureSurge simulates a workload under a surge with each seed. base is the report without a surge to
+// compare with, or nil.
 func measureSurge(load workload, sg surge, p surgePolicy, window time.Duration, seeds []uint64, base *surgeReport) surgeReport {
 	report := surgeReport{Company: load.name, Surge: sg.name, Policy: p.name, Seeds: seeds}
 	byKind := make(map[core.Kind]*kindStats)
--- a/bench/surgeload.go
+++ b/bench/surgeload.go
@@ -25,7 +25,7 @@
 	kinds []workKind
 }
 
-// workloads returns the workloads of both companies, each of 60% of the capacity without a surge.
+// workloads returns the workloads of both companies. Without a surge, each offers 60% of the capacity.
 func workloads() []workload {
 	return []workload{
 		{name: "gulf-berth", slots: 3, kinds: []workKind{
--- a/bench/surgesim.go
+++ b/bench/surgesim.go
@@ -215,7 +215,7 @@
 	s.sched.Done(s.clock(), j.item, true)
 	inTime := s.now-j.arrivedAt <= j.kind.Deadline
 	if inTime {
-		// A statement that is partly in the window counts with that part.
+		// Of a statement that is executed partly in the window, only that part counts.
 		begin, end := max(s.now-j.service, warmUp), min(s.now, s.end)
 		s.usefulWork += max(end-begin, 0)
 	}
