--- a/scripts/down.sh
+++ b/scripts/down.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Stops the processes that scripts/up.sh started. Usage: scripts/down.sh [gulf-berth|hoang-phat]
+# Stops the processes whose ids scripts/up.sh recorded. Usage: scripts/down.sh [gulf-berth|hoang-phat]
 set -uo pipefail
 cd "$(dirname "$0")/.."
 run=run/${1:-gulf-berth}
--- a/scripts/reads.sh
+++ b/scripts/reads.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Measures the fraction of reads served by replicas at replication lags of 0, 50 and 500 ms. Callers send
-# their session's position when they connect, or don't. Fails on a stale read.
+# Measures the fraction of reads served by replicas at replication lags of 0, 50 and 500 ms, each with callers
+# that carry their session's position to the next connection and with callers that don't. Fails on a stale
+# read.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 trap 'scripts/down.sh gulf-berth' EXIT
--- a/scripts/slopes.sh
+++ b/scripts/slopes.sh
@@ -63,7 +63,7 @@
 }
 
 # deploy VMS GROUPS starts the platform, the upstreams and the entry VMs, and sets vms to the process ids of
-# the entry VMs. It waits SETTLE seconds at the end.
+# the entry VMs. At the end it waits for SETTLE seconds, 5 by default.
 deploy() {
 	start platform bin/standin platform --listen "$platform"
 	for ((g = 1; g <= $2; g++)); do
