--- a/io/logbuf/logbuf.go
+++ b/io/logbuf/logbuf.go
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// Defaults of Config. The buffer's size is in bytes.
+// Defaults of Config: the rate is in lines per second, the buffer's size in bytes.
 const (
 	defaultInterval = 100 * time.Millisecond
 	defaultRate     = 200
@@ -44,9 +44,10 @@
 
 	mu      sync.Mutex
 	pending bytes.Buffer
-	// lines is the number of lines buffered in second, the current second as Unix time.
-	second  int64
-	lines   int
+	// second is the Unix time of the latest Write, and lines the number of lines buffered in that second.
+	second int64
+	lines  int
+	// dropped is the number of dropped lines that flush has yet to report.
 	dropped int
 }
 
--- a/io/logbuf/logbuf_test.go
+++ b/io/logbuf/logbuf_test.go
@@ -18,9 +18,9 @@
 	out     bytes.Buffer
 }
 
-func (s *blockedWriter) Write(p []byte) (int, error) {
-	<-s.release
-	return s.out.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.release
+	return w.out.Write(p)
 }
 
 // Guards against a slow output that blocks the goroutines that log, and against dropping lines without
