--- a/io/admin/admin.go
+++ b/io/admin/admin.go
@@ -19,6 +19,7 @@
 // Config configures a Server.
 type Config struct {
 	Listener net.Listener
+	// Registry provides the state of the services for /dump.
 	Registry *core.Registry
 	// Metrics serves /metrics; nil means that the path doesn't exist.
 	Metrics http.Handler
@@ -26,7 +27,7 @@
 	Status func() any
 }
 
-// Server is the service "admin".
+// Server serves the operators' HTTP interface. It is a core.Service with the name "admin".
 type Server struct {
 	cfg   Config
 	ready atomic.Bool
