--- a/core/lead/detect.go
+++ b/core/lead/detect.go
@@ -10,7 +10,7 @@
 	// probeAfter is how long after the primary was last confirmed it is probed again.
 	probeAfter = 200 * time.Millisecond
 	// A primary has failed after minFailedProbes consecutive failed probes that span minFailureTime. A
-	// period below 1 s in which a primary answers 10 times slower must not cause a failover.
+	// period of less than 1 s in which a primary answers 10 times slower must not cause a failover.
 	minFailedProbes = 2
 	minFailureTime  = 250 * time.Millisecond
 	// noPrimaryTimeout is how long a group may be without a known primary. A newly promoted primary
--- a/core/lead/driver.go
+++ b/core/lead/driver.go
@@ -81,7 +81,7 @@
 type Driver struct {
 	cfg    Config
 	groups map[core.GroupID]*groupState
-	// completions carries the functions that the tasks return, and running counts the tasks.
+	// completions carries the functions that the tasks of runAsync return; running is the number of tasks.
 	completions chan func()
 	running     int
 }
@@ -133,9 +133,9 @@
 				<-d.completions
 			}
 			return nil
-		case end := <-d.completions:
+		case complete := <-d.completions:
 			d.running--
-			end()
+			complete()
 		case <-ticker.C:
 			d.checkGroups(ctx)
 		}
@@ -222,12 +222,12 @@
 	}
 	// Another VM may have replaced the primary already. Without this parallel search, a VM that can't
 	// reach the store would find the new primary only after the call to the store has timed out.
-	found := make(chan struct{})
+	searched := make(chan struct{})
 	go func(g Group) {
-		defer close(found)
+		defer close(searched)
 		d.findLeader(ctx, g)
 	}(g)
-	defer func() { <-found }()
+	defer func() { <-searched }()
 	held, err := d.acquire(ctx, g.ID, req.held)
 	if err != nil {
 		return held, err
@@ -294,8 +294,8 @@
 // acquire acquires the group's lease, or returns the held one if it is certainly still valid. The
 // lifetime counts from before the call that granted the lease.
 func (d *Driver) acquire(ctx context.Context, id core.GroupID, held lease) (lease, error) {
-	asked := d.cfg.Now()
-	if held.expiresAt.Sub(asked) > leaseMargin {
+	requestedAt := d.cfg.Now()
+	if held.expiresAt.Sub(requestedAt) > leaseMargin {
 		return held, nil
 	}
 	// When a primary fails, most VMs find the lease taken. Reading the key first saves them two calls.
@@ -314,7 +314,7 @@
 		d.release(ctx, lease{id: granted})
 		return lease{}, err
 	}
-	return lease{id: granted, token: token, expiresAt: asked.Add(leaseTTL)}, nil
+	return lease{id: granted, token: token, expiresAt: requestedAt.Add(leaseTTL)}, nil
 }
 
 func (d *Driver) release(ctx context.Context, l lease) {
@@ -341,7 +341,7 @@
 			results <- result{i, probe, err}
 		}()
 	}
-	found, answers := -1, 0
+	bestIndex, answers := -1, 0
 	if g.Leaving {
 		answers++
 	}
@@ -352,17 +352,17 @@
 			continue
 		}
 		answers++
-		if found < 0 || r.probe.Leads || best.Log.Less(r.probe.Log) || (best.Log == r.probe.Log && r.index < found) {
-			found, best = r.index, r.probe
+		if bestIndex < 0 || r.probe.Leads || best.Log.Less(r.probe.Log) || (best.Log == r.probe.Log && r.index < bestIndex) {
+			bestIndex, best = r.index, r.probe
 		}
 	}
-	if found < 0 {
+	if bestIndex < 0 {
 		return "", best, errors.New("no replica answered a probe")
 	}
 	if !allowMinority && !best.Leads && 2*answers <= g.Members {
 		return "", best, errMinority
 	}
-	return g.Replicas[found], best, nil
+	return g.Replicas[bestIndex], best, nil
 }
 
 // promote asks the platform to promote the target. The call is repeated with the same token and target
