--- a/core/elect/assess.go
+++ b/core/elect/assess.go
@@ -25,9 +25,9 @@
 	repairs []int
 }
 
-// asksSameChange reports whether b still calls for the change that a called for. A higher term on any
-// upstream means that another driver is changing the primary.
-func (a assessment) asksSameChange(b assessment) bool {
+// needsSameChange reports whether the later assessment b still needs the change that a needs. A higher
+// term on any upstream means that another driver is changing the primary.
+func (a assessment) needsSameChange(b assessment) bool {
 	return b.ready && a.reason.class() == b.reason.class() &&
 		a.primary == b.primary && a.term == b.term && a.highest == b.highest
 }
@@ -64,7 +64,7 @@
 	case a.primary < 0:
 		d.assessNoPrimary(now, reports, &a)
 	default:
-		d.noPrimary.reset()
+		d.noPrimaryTimer.reset()
 		d.assessPrimary(now, reports, &a)
 	}
 	return a
@@ -129,7 +129,7 @@
 // driver failed between two steps, or the primary of that term can't be reached from this VM.
 func (d *Driver) assessNoPrimary(now time.Time, reports []quorum.Report, a *assessment) {
 	a.reason = ReasonNone
-	a.since = d.noPrimary.hold(now, a.highest)
+	a.since = d.noPrimaryTimer.hold(now, a.highest)
 	limit := d.cfg.Timing.NoPrimaryAfter
 	if d.abandonedTerm > 0 && a.highest == d.abandonedTerm {
 		limit = 0
@@ -137,7 +137,7 @@
 	a.ready = d.hasLasted(now, a.since, limit, reports)
 }
 
-// hasLasted reports whether the failure has hasLasted for the limit and no replica vetoes the change. A
+// hasLasted reports whether the failure has lasted for the limit and no replica vetoes the change. A
 // veto counts up to VetoTimeout only.
 func (d *Driver) hasLasted(now, since time.Time, limit time.Duration, reports []quorum.Report) bool {
 	since = latest(since, d.watchingSince)
@@ -176,10 +176,10 @@
 // complete its change.
 func (d *Driver) isContested(now time.Time, a *assessment) bool {
 	if a.highest == a.term || a.highest == d.abandonedTerm {
-		d.otherDriver.reset()
+		d.contestedTimer.reset()
 		return false
 	}
-	return now.Sub(d.otherDriver.hold(now, a.highest)) < d.cfg.Timing.NoPrimaryAfter
+	return now.Sub(d.contestedTimer.hold(now, a.highest)) < d.cfg.Timing.NoPrimaryAfter
 }
 
 // assessHealthy assesses a group whose primary answers.
@@ -196,11 +196,11 @@
 	}
 	if highest > a.term {
 		a.reason = ReasonHigherTerm
-		a.since = d.termExceeded.hold(now, highest)
+		a.since = d.higherTermTimer.hold(now, highest)
 		a.ready = now.Sub(latest(a.since, d.watchingSince)) >= d.cfg.Timing.HigherTermAfter
 		return
 	}
-	d.termExceeded.reset()
+	d.higherTermTimer.reset()
 	if !d.isLeaving(reports[a.primary]) {
 		d.leavingTimer.reset()
 		return
--- a/core/elect/change.go
+++ b/core/elect/change.go
@@ -112,7 +112,7 @@
 	for end := time.Now().Add(wait); ; {
 		now := time.Now()
 		d.lastStepAt = now
-		if !a.asksSameChange(d.assess(now)) {
+		if !a.needsSameChange(d.assess(now)) {
 			return errNotNeeded
 		}
 		if !now.Before(end) {
@@ -138,7 +138,7 @@
 		}
 	}
 	d.lastStepAt = time.Now()
-	if !a.asksSameChange(d.assess(d.lastStepAt)) {
+	if !a.needsSameChange(d.assess(d.lastStepAt)) {
 		return errNotNeeded
 	}
 	return nil
@@ -188,8 +188,8 @@
 }
 
 // prepare sends prepare(term) to all upstreams except the one whose promise is given. It returns once all
-// upstreams that are expected to answer have done so, or once a majority has and the rest were given
-// the same time again.
+// upstreams that are expected to answer have done so, at the latest after CallTimeout. Once a majority has
+// promised, the others have only as long again plus one Tick.
 func (d *Driver) prepare(ctx context.Context, a assessment, term core.Term, given []promise) ([]promise, error) {
 	answers := make(chan promise, len(d.cfg.Upstreams))
 	start := time.Now()
@@ -272,15 +272,16 @@
 	return cmp.Or(cmp.Compare(p.Term, q.Term), cmp.Compare(p.Offset, q.Offset))
 }
 
-// preference returns a score that ranks upstreams with equal logs; higher is better.
+// preference returns a score that ranks upstreams with equal logs; higher is better. An upstream that
+// isn't leaving is preferred. A primary is preferred unless it has failed or is leaving.
 func (d *Driver) preference(p promise, a assessment) int {
 	score := 0
 	reports := d.cfg.View.Reports()
 	if !p.status.Leaving && !d.isLeaving(reports[p.index]) {
 		score += 2
 	}
-	working := a.reason == ReasonHigherTerm || a.reason == ReasonNone
-	if (p.index == a.primary || p.status.Role == core.RolePrimary) == working {
+	preferPrimary := a.reason == ReasonHigherTerm || a.reason == ReasonNone
+	if (p.index == a.primary || p.status.Role == core.RolePrimary) == preferPrimary {
 		score++
 	}
 	return score
@@ -308,8 +309,8 @@
 	return core.UpstreamStatus{}, fmt.Errorf("promote: %w", errors.Join(failures...))
 }
 
-// followAll tells the other upstreams to follow the new primary and waits until a majority does. The
-// rest is left to repair.
+// followAll tells the other upstreams to follow the new primary and waits until a majority does. repair
+// handles those that don't.
 func (d *Driver) followAll(ctx context.Context, target int, c Change) {
 	start := time.Now()
 	if err := d.beginStep(ctx, StepFollow, c.Term); err != nil {
--- a/core/elect/confirm.go
+++ b/core/elect/confirm.go
@@ -42,10 +42,10 @@
 }
 
 // finishChange records the end of a change and, if it was confirmed, reports it and releases the lease.
-func (d *Driver) finishChange(end confirmResult) {
-	c := end.change
-	d.record(Event{Step: StepConfirm, Term: c.Term, Upstream: c.To, Reason: c.Reason, Took: c.Confirm, Error: errorText(end.err)})
-	if end.err != nil {
+func (d *Driver) finishChange(result confirmResult) {
+	c := result.change
+	d.record(Event{Step: StepConfirm, Term: c.Term, Upstream: c.To, Reason: c.Reason, Took: c.Confirm, Error: errorText(result.err)})
+	if result.err != nil {
 		return
 	}
 	d.mu.Lock()
--- a/core/elect/doc.go
+++ b/core/elect/doc.go
@@ -25,7 +25,7 @@
 //
 //	view := quorum.New(quorum.Config{Group: group, Upstreams: upstreams})
 //	d := elect.New(elect.Config{Group: group, Self: vm, Upstreams: upstreams, View: view, Store: store})
-//	if err := kernel.Register(d); err != nil {
+//	if err := registry.Register(d); err != nil {
 //		return err
 //	}
 package elect
--- a/core/elect/driver.go
+++ b/core/elect/driver.go
@@ -20,9 +20,8 @@
 
 	// The fields up to mu are used by Run's goroutine only.
 	lease lease
-	// noPrimary, termExceeded, leavingTimer and otherDriver record since when the conditions have held
-	// that the reports carry no time for.
-	noPrimary, termExceeded, leavingTimer, otherDriver termTimer
+	// The timers record since when a condition has held for which the reports have no time.
+	noPrimaryTimer, higherTermTimer, leavingTimer, contestedTimer termTimer
 	// lastCheckAt is the time of the last check; watchingSince is when the checks since the last pause
 	// began.
 	lastCheckAt, watchingSince time.Time
@@ -66,8 +65,8 @@
 			return nil
 		case <-timer.C:
 		case <-d.cfg.View.Changed():
-		case end := <-d.confirmResults:
-			d.finishChange(end)
+		case result := <-d.confirmResults:
+			d.finishChange(result)
 		}
 		timer.Reset(d.check(ctx))
 	}
@@ -94,8 +93,8 @@
 	return d.cfg.Timing.Tick
 }
 
-// detectPause restarts all waiting periods after this process was paused, since the primary can't have
-// answered during that time.
+// detectPause restarts all waiting periods after this process was paused. The time in which it could not
+// receive the primary's answers must not count as a failure of the primary.
 func (d *Driver) detectPause(now time.Time) {
 	if now.Sub(d.lastCheckAt) > d.cfg.Timing.IdleTick+d.cfg.Timing.PauseLimit/2 {
 		d.watchingSince = now
--- a/core/elect/elect_test.go
+++ b/core/elect/elect_test.go
@@ -30,122 +30,122 @@
 }
 
 // start runs the body in a synctest bubble with a group that has run for 3 s.
-func start(t *testing.T, cfg fakes.GroupConfig, body func(r *harness)) {
+func start(t *testing.T, cfg fakes.GroupConfig, body func(h *harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg.Group = "g"
 		cfg.Size = 3
 		cfg.Delay = time.Millisecond
-		r := &harness{group: fakes.NewGroup(cfg), store: fakes.NewStore()}
-		defer r.group.Close()
-		defer r.store.Close()
-		upstreams := r.group.View("vm")
-		r.view = quorum.New(quorum.Config{Group: "g", Upstreams: upstreams})
-		r.driver = elect.New(elect.Config{
-			Group: "g", Self: "vm", Upstreams: upstreams, View: r.view, Store: r.store,
+		h := &harness{group: fakes.NewGroup(cfg), store: fakes.NewStore()}
+		defer h.group.Close()
+		defer h.store.Close()
+		upstreams := h.group.View("vm")
+		h.view = quorum.New(quorum.Config{Group: "g", Upstreams: upstreams})
+		h.driver = elect.New(elect.Config{
+			Group: "g", Self: "vm", Upstreams: upstreams, View: h.view, Store: h.store,
 			Rand: rand.New(rand.NewPCG(1, 2)),
 			Hook: func(_ context.Context, s elect.Step, _ core.Term) {
-				r.mu.Lock()
-				hook := r.hook
-				r.mu.Unlock()
+				h.mu.Lock()
+				hook := h.hook
+				h.mu.Unlock()
 				if hook != nil {
 					hook(s)
 				}
 			},
-			OnChange: func(c elect.Change) { r.mu.Lock(); r.changes = append(r.changes, c); r.mu.Unlock() },
+			OnChange: func(c elect.Change) { h.mu.Lock(); h.changes = append(h.changes, c); h.mu.Unlock() },
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		ends := make(chan error, 2)
-		go func() { ends <- r.view.Run(ctx) }()
-		go func() { ends <- r.driver.Run(ctx) }()
+		go func() { ends <- h.view.Run(ctx) }()
+		go func() { ends <- h.driver.Run(ctx) }()
 		defer func() {
 			cancel()
 			assert.NilError(t, <-ends)
 			assert.NilError(t, <-ends)
 		}()
 		time.Sleep(3 * time.Second)
-		body(r)
+		body(h)
 	})
 }
 
 // completed returns the changes of primary that have completed.
-func (r *harness) completed() []elect.Change {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]elect.Change(nil), r.changes...)
+func (h *harness) completed() []elect.Change {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return append([]elect.Change(nil), h.changes...)
 }
 
-func (r *harness) primary(t *testing.T) (core.UpstreamID, core.Term) {
-	id, term, ok := r.view.Primary()
-	assert.Assert(t, ok, "no primary: %+v", r.driver.Dump())
+func (h *harness) primary(t *testing.T) (core.UpstreamID, core.Term) {
+	id, term, ok := h.view.Primary()
+	assert.Assert(t, ok, "no primary: %+v", h.driver.Dump())
 	return id, term
 }
 
 // Guards against a change of primary in a healthy group.
 func TestHealthyGroupKeepsPrimary(t *testing.T) {
-	start(t, fakes.GroupConfig{}, func(r *harness) {
+	start(t, fakes.GroupConfig{}, func(h *harness) {
 		time.Sleep(time.Minute)
-		id, term := r.primary(t)
+		id, term := h.primary(t)
 		assert.Equal(t, id, core.UpstreamID("u1"))
 		assert.Equal(t, term, core.Term(1))
-		assert.Equal(t, r.store.Calls(), 0)
+		assert.Equal(t, h.store.Calls(), 0)
 	})
 }
 
 // Guards against a group that stays without a primary after its primary fails, and against an old primary
 // that doesn't follow the new one after its restart.
 func TestKilledPrimaryIsReplacedAndRejoins(t *testing.T) {
-	start(t, fakes.GroupConfig{}, func(r *harness) {
-		r.group.Kill("u1")
+	start(t, fakes.GroupConfig{}, func(h *harness) {
+		h.group.Kill("u1")
 		time.Sleep(2 * time.Second)
-		id, term := r.primary(t)
+		id, term := h.primary(t)
 		assert.Assert(t, id != "u1")
 		assert.Equal(t, term, core.Term(2))
-		assert.Equal(t, len(r.completed()), 1)
-		assert.Assert(t, r.completed()[0].Total() < 1500*time.Millisecond, "%+v", r.completed()[0])
-		r.group.Start("u1")
+		assert.Equal(t, len(h.completed()), 1)
+		assert.Assert(t, h.completed()[0].Total() < 1500*time.Millisecond, "%+v", h.completed()[0])
+		h.group.Start("u1")
 		time.Sleep(2 * time.Second)
-		s := r.group.State("u1")
+		s := h.group.State("u1")
 		assert.Equal(t, s.Role, core.RoleReplica)
-		assert.Equal(t, s.Log, r.group.State(id).Log)
-		assert.Equal(t, len(r.completed()), 1)
+		assert.Equal(t, s.Log, h.group.State(id).Log)
+		assert.Equal(t, len(h.completed()), 1)
 	})
 }
 
 // Guards against a newly created group that gets no primary without an operator.
 func TestNewGroupGetsPrimary(t *testing.T) {
-	start(t, fakes.GroupConfig{NoPrimary: true}, func(r *harness) {
-		_, term := r.primary(t)
+	start(t, fakes.GroupConfig{NoPrimary: true}, func(h *harness) {
+		_, term := h.primary(t)
 		assert.Equal(t, term, core.Term(1))
 	})
 }
 
 // Guards against a planned change that loses entries, and against a leaving primary that isn't replaced.
 func TestLeavingPrimaryHandsOver(t *testing.T) {
-	start(t, fakes.GroupConfig{Lag: 50 * time.Millisecond}, func(r *harness) {
-		p, err := r.group.Remote("vm", "u1").Write(context.Background(), "k", 1)
+	start(t, fakes.GroupConfig{Lag: 50 * time.Millisecond}, func(h *harness) {
+		p, err := h.group.Remote("vm", "u1").Write(context.Background(), "k", 1)
 		assert.NilError(t, err)
-		r.group.SetLeaving("u1", true)
+		h.group.SetLeaving("u1", true)
 		time.Sleep(2 * time.Second)
-		id, _ := r.primary(t)
+		id, _ := h.primary(t)
 		assert.Assert(t, id != "u1")
-		v, err := r.group.Remote("vm", id).ReadAt(context.Background(), "k", p)
+		v, err := h.group.Remote("vm", id).ReadAt(context.Background(), "k", p)
 		assert.NilError(t, err)
 		assert.Equal(t, v, 1)
-		assert.Equal(t, r.completed()[0].Reason, elect.ReasonLeaving)
+		assert.Equal(t, h.completed()[0].Reason, elect.ReasonLeaving)
 	})
 }
 
 // Guards against an upstream that can't follow the primary because it has promised a higher term to a
 // driver that failed before it could promote.
 func TestHigherTermIsRepaired(t *testing.T) {
-	start(t, fakes.GroupConfig{}, func(r *harness) {
-		_, err := r.group.Remote("vm", "u3").Prepare(context.Background(), 7)
+	start(t, fakes.GroupConfig{}, func(h *harness) {
+		_, err := h.group.Remote("vm", "u3").Prepare(context.Background(), 7)
 		assert.NilError(t, err)
 		time.Sleep(4 * time.Second)
-		id, term := r.primary(t)
+		id, term := h.primary(t)
 		assert.Equal(t, id, core.UpstreamID("u1"))
 		assert.Assert(t, term > 7)
-		assert.Equal(t, r.group.State("u3").Log, r.group.State("u1").Log)
+		assert.Equal(t, h.group.State("u3").Log, h.group.State("u1").Log)
 	})
 }
 
@@ -153,23 +153,23 @@
 func TestPausedDriverStartsOver(t *testing.T) {
 	for _, step := range []elect.Step{elect.StepDetect, elect.StepLease, elect.StepPrepare, elect.StepPromote, elect.StepFollow} {
 		t.Run(string(step), func(t *testing.T) {
-			start(t, fakes.GroupConfig{}, func(r *harness) {
+			start(t, fakes.GroupConfig{}, func(h *harness) {
 				var paused atomic.Bool
-				r.mu.Lock()
-				r.hook = func(s elect.Step) {
+				h.mu.Lock()
+				h.hook = func(s elect.Step) {
 					if s == step && paused.CompareAndSwap(false, true) {
 						time.Sleep(time.Minute)
 					}
 				}
-				r.mu.Unlock()
-				r.group.Isolate("u1", true, "vm")
+				h.mu.Unlock()
+				h.group.Isolate("u1", true, "vm")
 				time.Sleep(30 * time.Second)
 				assert.Assert(t, paused.Load())
-				r.group.Heal()
+				h.group.Heal()
 				time.Sleep(40 * time.Second)
-				id, _ := r.primary(t)
-				for _, other := range r.group.IDs() {
-					assert.Equal(t, r.group.State(other).Log, r.group.State(id).Log)
+				id, _ := h.primary(t)
+				for _, other := range h.group.IDs() {
+					assert.Equal(t, h.group.State(other).Log, h.group.State(id).Log)
 				}
 			})
 		})
@@ -179,21 +179,21 @@
 // Guards against a change of primary because one entry VM can't reach a primary that the replicas still
 // hear from, and against a veto by the replicas that never ends.
 func TestReplicaVetoExpires(t *testing.T) {
-	start(t, fakes.GroupConfig{}, func(r *harness) {
+	start(t, fakes.GroupConfig{}, func(h *harness) {
 		cut := func(on bool) {
-			r.group.Cut("vm", "u1", on)
-			r.group.Cut("u1", "vm", on)
+			h.group.Cut("vm", "u1", on)
+			h.group.Cut("u1", "vm", on)
 		}
 		cut(true)
 		time.Sleep(4500 * time.Millisecond)
 		cut(false)
 		time.Sleep(3 * time.Second)
-		id, term := r.primary(t)
+		id, term := h.primary(t)
 		assert.Equal(t, id, core.UpstreamID("u1"))
 		assert.Equal(t, term, core.Term(1))
 		cut(true)
 		time.Sleep(6 * time.Second)
-		id, _ = r.primary(t)
+		id, _ = h.primary(t)
 		assert.Assert(t, id != "u1")
 	})
 }
@@ -201,17 +201,17 @@
 // Guards against a planned change that loses an entry that a majority holds: the leaving primary and one
 // replica have it, the other replica is far behind.
 func TestLeavingPrimaryKeepsConfirmed(t *testing.T) {
-	start(t, fakes.GroupConfig{}, func(r *harness) {
-		r.group.Cut("u1", "u2", true)
+	start(t, fakes.GroupConfig{}, func(h *harness) {
+		h.group.Cut("u1", "u2", true)
 		ctx := context.Background()
-		p, err := r.group.Remote("vm", "u1").Write(ctx, "k", 7)
+		p, err := h.group.Remote("vm", "u1").Write(ctx, "k", 7)
 		assert.NilError(t, err)
-		assert.NilError(t, r.view.Confirm(ctx, p))
-		r.group.SetLeaving("u1", true)
+		assert.NilError(t, h.view.Confirm(ctx, p))
+		h.group.SetLeaving("u1", true)
 		time.Sleep(3 * time.Second)
-		id, _ := r.primary(t)
+		id, _ := h.primary(t)
 		assert.Equal(t, id, core.UpstreamID("u3"))
-		v, err := r.group.Remote("vm", id).ReadAt(ctx, "k", p)
+		v, err := h.group.Remote("vm", id).ReadAt(ctx, "k", p)
 		assert.NilError(t, err)
 		assert.Equal(t, v, 7)
 	})
@@ -233,12 +233,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			start(t, fakes.GroupConfig{}, func(r *harness) {
-				tt.fault(r.store)
-				r.group.Kill("u1")
+			start(t, fakes.GroupConfig{}, func(h *harness) {
+				tt.fault(h.store)
+				h.group.Kill("u1")
 				time.Sleep(5 * time.Second)
-				assert.Equal(t, len(r.completed()), 1)
-				delay := r.completed()[0].Delay
+				assert.Equal(t, len(h.completed()), 1)
+				delay := h.completed()[0].Delay
 				assert.Assert(t, delay <= tt.delay, "delayed by %s", delay)
 			})
 		})
--- a/core/elect/step.go
+++ b/core/elect/step.go
@@ -56,7 +56,8 @@
 	ReasonLeaving Reason = "primary leaving"
 )
 
-// class maps the reasons that alternate during one failure to one of them.
+// class returns ReasonSilent for ReasonRefused as well, since the two can alternate during one failure.
+// Other reasons are their own class.
 func (r Reason) class() Reason {
 	if r == ReasonRefused {
 		return ReasonSilent
