--- a/core/quorum/doc.go
+++ b/core/quorum/doc.go
@@ -29,7 +29,7 @@
 // # Usage
 //
 //	m := quorum.New(quorum.Config{Group: "berth-ledger-1", Upstreams: upstreams})
-//	if err := kernel.Register(m); err != nil {
+//	if err := registry.Register(m); err != nil {
 //		return err
 //	}
 //	res, err := conn.Run(ctx, req, w)
--- a/core/quorum/monitor.go
+++ b/core/quorum/monitor.go
@@ -180,11 +180,11 @@
 		return 0
 	}
 	interval := m.interval
-	if g, ok := m.waits.pollInterval(now, m.cfg.DemandInterval, interval); ok {
-		interval = g
+	if wanted, ok := m.waits.pollInterval(now, m.cfg.DemandInterval, interval); ok {
+		interval = wanted
 	}
-	if g, ok := mb.waits.pollInterval(now, m.cfg.DemandInterval, interval); ok {
-		interval = g
+	if wanted, ok := mb.waits.pollInterval(now, m.cfg.DemandInterval, interval); ok {
+		interval = wanted
 	}
 	if mb.pollNow {
 		interval = m.cfg.DemandInterval
--- a/core/quorum/sample.go
+++ b/core/quorum/sample.go
@@ -10,8 +10,8 @@
 	// maxSamples limits the memory per group. Since gaps between samples grow with their age, 64 samples
 	// at a poll interval of 100 ms cover about 15 min.
 	maxSamples = 64
-	// thinRatio: a full list keeps a sample only if the gap between its neighbors is at least the sample's
-	// age divided by thinRatio. The age of a replica's data is overstated by at most a quarter.
+	// A full list keeps a sample only if the gap between its neighbors is at least the sample's age divided
+	// by thinRatio. The age of a replica's data is therefore overstated by at most a quarter.
 	thinRatio = 4
 	// minSampleGap is the shortest time between samples. It keeps polls on demand, which can be 1 ms
 	// apart, from displacing old samples.
--- a/core/quorum/tally.go
+++ b/core/quorum/tally.go
@@ -16,8 +16,9 @@
 	isConfirmed bool
 	// primary is the index of the primary of the term promised, or -1.
 	primary int
-	// freshPoll is the number of the oldest poll in the newest majority, including the primary, that has
-	// reported the term, or 0 without such a majority. freshMember is the member of that poll.
+	// freshPoll is the highest number such that a majority, including the primary, has reported the term in
+	// polls with this number or a higher one. It is 0 without such a majority. freshMember is the index of
+	// the member whose poll has that number.
 	freshPoll   uint64
 	freshMember int
 }
