--- a/core/peers/doc.go
+++ b/core/peers/doc.go
@@ -21,12 +21,12 @@
 //
 // # Usage
 //
-//	keeper := table.NewKeeper(table.KeeperConfig{Store: s})
-//	p, err := peers.New(peers.Config{Self: vm, Seeds: seeds, Transport: client, Platform: s, Table: keeper})
+//	cache := table.NewCache(table.CacheConfig{Store: s})
+//	p, err := peers.New(peers.Config{Self: vm, Seeds: seeds, Transport: client, Platform: s, Table: cache})
 //	if err != nil {
 //		return err
 //	}
-//	keeper.Join(p)
+//	cache.SetPeers(p)
 //	server := ctrl.NewServer(ctrl.ServerConfig{Peers: p})
 //
 // Run calls Leave at its end. A planned shutdown can call it earlier.
--- a/core/peers/fetch.go
+++ b/core/peers/fetch.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxTableRequests is the number of members that AskTable tries.
+	// maxTableRequests is the number of members that FetchTable tries.
 	maxTableRequests = 3
 	// rejectedRetryDelay is how long a version that couldn't be adopted isn't fetched again.
 	rejectedRetryDelay = time.Minute
@@ -72,11 +72,11 @@
 func (p *Peers) FetchTable(ctx context.Context) ([]byte, error) {
 	err := core.ErrPeer.New("no other entry VM is known")
 	for _, vm := range p.randomMembers(maxTableRequests, "") {
-		data, askErr := p.requestTable(ctx, vm)
-		if askErr == nil {
+		data, fetchErr := p.requestTable(ctx, vm)
+		if fetchErr == nil {
 			return data, nil
 		}
-		err = askErr
+		err = fetchErr
 	}
 	return nil, err
 }
--- a/core/peers/fleet_test.go
+++ b/core/peers/fleet_test.go
@@ -48,13 +48,13 @@
 
 // reach returns the member at the address after the one-way delay. If it can't be reached or is paused, it
 // waits until ctx ends.
-func (l *fakeTransport) reach(ctx context.Context, address string) (*node, error) {
-	l.net.mu.Lock()
-	n := l.net.nodes[address]
-	isCut := n != nil && l.net.cut[[2]core.FailureDomain{l.from.FailureDomain, n.Self().FailureDomain}]
-	isPaused := l.net.paused[address] || l.net.paused[l.from.Control]
-	l.net.calls++
-	l.net.mu.Unlock()
+func (tr *fakeTransport) reach(ctx context.Context, address string) (*node, error) {
+	tr.net.mu.Lock()
+	n := tr.net.nodes[address]
+	isCut := n != nil && tr.net.cut[[2]core.FailureDomain{tr.from.FailureDomain, n.Self().FailureDomain}]
+	isPaused := tr.net.paused[address] || tr.net.paused[tr.from.Control]
+	tr.net.calls++
+	tr.net.mu.Unlock()
 	if n == nil {
 		return nil, errUnreachable
 	}
@@ -66,8 +66,8 @@
 	return n, ctx.Err()
 }
 
-func call[Q, A any](ctx context.Context, l *fakeTransport, address string, req *Q, serve func(*node, context.Context, *Q) (*A, error)) (*A, error) {
-	n, err := l.reach(ctx, address)
+func call[Q, A any](ctx context.Context, tr *fakeTransport, address string, req *Q, serve func(*node, context.Context, *Q) (*A, error)) (*A, error) {
+	n, err := tr.reach(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -76,20 +76,20 @@
 	return answer, err
 }
 
-func (l *fakeTransport) Ping(ctx context.Context, address string, req *PingRequest) (*PingAnswer, error) {
-	return call(ctx, l, address, req, (*node).Ping)
+func (tr *fakeTransport) Ping(ctx context.Context, address string, req *PingRequest) (*PingAnswer, error) {
+	return call(ctx, tr, address, req, (*node).Ping)
 }
 
-func (l *fakeTransport) Probe(ctx context.Context, address string, req *ProbeRequest) (*ProbeAnswer, error) {
-	return call(ctx, l, address, req, (*node).Probe)
+func (tr *fakeTransport) Probe(ctx context.Context, address string, req *ProbeRequest) (*ProbeAnswer, error) {
+	return call(ctx, tr, address, req, (*node).Probe)
 }
 
-func (l *fakeTransport) Sync(ctx context.Context, address string, req *SyncRequest) (*SyncAnswer, error) {
-	return call(ctx, l, address, req, (*node).Sync)
+func (tr *fakeTransport) Sync(ctx context.Context, address string, req *SyncRequest) (*SyncAnswer, error) {
+	return call(ctx, tr, address, req, (*node).Sync)
 }
 
-func (l *fakeTransport) Table(ctx context.Context, address string, req *TableRequest) (*TableAnswer, error) {
-	return call(ctx, l, address, req, (*node).Table)
+func (tr *fakeTransport) Table(ctx context.Context, address string, req *TableRequest) (*TableAnswer, error) {
+	return call(ctx, tr, address, req, (*node).Table)
 }
 
 // fakeTable is a Table without any content but its version.
--- a/core/peers/peers.go
+++ b/core/peers/peers.go
@@ -120,7 +120,7 @@
 	mu           sync.Mutex
 	state        *state
 	pingOrder    []core.VMID
-	doubtfulTurn bool
+	priorityTurn bool
 	candidates   map[string]core.VMID
 	fetching     bool
 	// rejected is the last version of the table that couldn't be adopted, rejectedAt when that was.
@@ -208,15 +208,15 @@
 	defer p.stop()
 	ticker := time.NewTicker(p.cfg.PingInterval)
 	defer ticker.Stop()
-	c := schedule{sync: time.Now().Add(p.syncInterval())}
-	p.tick(ctx, &c)
+	sched := schedule{sync: time.Now().Add(p.syncInterval())}
+	p.tick(ctx, &sched)
 	for {
 		select {
 		case <-ctx.Done():
 			p.Leave(context.WithoutCancel(ctx))
 			return nil
 		case <-ticker.C:
-			p.tick(ctx, &c)
+			p.tick(ctx, &sched)
 		case <-p.urgent:
 			p.pingRandom(ctx, fanout)
 			sleep(ctx, minUrgentInterval)
@@ -251,25 +251,25 @@
 }
 
 // tick starts the tasks that are due in this ping interval.
-func (p *Peers) tick(ctx context.Context, c *schedule) {
+func (p *Peers) tick(ctx context.Context, sched *schedule) {
 	now := time.Now()
 	p.expire(now)
 	alone := p.isAlone()
 	if !alone {
 		p.probeNext(ctx)
 	}
-	if alone || !now.Before(c.retry) {
-		c.retry = now.Add(p.cfg.RetryInterval)
+	if alone || !now.Before(sched.retry) {
+		sched.retry = now.Add(p.cfg.RetryInterval)
 		p.retry(ctx, alone)
 	}
-	if gen := p.Generation(); gen != c.seenGeneration {
-		c.seenGeneration = gen
-		if soon := now.Add(p.quickSyncDelay()); soon.Before(c.sync) {
-			c.sync = soon
+	if gen := p.Generation(); gen != sched.seenGeneration {
+		sched.seenGeneration = gen
+		if soon := now.Add(p.quickSyncDelay()); soon.Before(sched.sync) {
+			sched.sync = soon
 		}
 	}
-	if !alone && !now.Before(c.sync) {
-		c.sync = now.Add(p.syncInterval())
+	if !alone && !now.Before(sched.sync) {
+		sched.sync = now.Add(p.syncInterval())
 		p.syncRandom(ctx)
 	}
 }
@@ -280,7 +280,7 @@
 	return p.state.size() <= 1
 }
 
-// expire declares members dead that have been suspect for the suspicion time, and removes old records.
+// expire declares members dead that have been suspect for the suspicion timeout, and removes old records.
 func (p *Peers) expire(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/core/peers/probe.go
+++ b/core/peers/probe.go
@@ -107,15 +107,15 @@
 // fleet would open a connection for each ping, which needs six times the traffic.
 const maxPartners = 32
 
-// nextTarget returns the member to probe next: a doubtful member, or the next partner in a shuffled order,
-// so that each partner is pinged once per round.
+// nextTarget returns the member to probe next: an accused or suspect member, or the next partner in a
+// shuffled order, so that each partner is pinged once per round.
 func (p *Peers) nextTarget() (core.VM, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// At most every other ping goes to a doubtful member. It is pinged early so that it isn't declared
-	// dead after a short pause.
-	p.doubtfulTurn = !p.doubtfulTurn
-	if vm, ok := p.state.priorityTarget(); ok && p.doubtfulTurn {
+	// At most every other ping goes to an accused or suspect member. It is pinged early so that it isn't
+	// declared dead after a short pause.
+	p.priorityTurn = !p.priorityTurn
+	if vm, ok := p.state.priorityTarget(); ok && p.priorityTurn {
 		return vm, true
 	}
 	for range 2 {
@@ -151,13 +151,13 @@
 func (p *Peers) probeIndirect(ctx context.Context, vm core.VM) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*p.cfg.PingTimeout)
 	defer cancel()
-	ask := p.randomMembers(helpers, vm.ID)
-	answers := make(chan bool, len(ask))
-	for _, helper := range ask {
+	helperVMs := p.randomMembers(helpers, vm.ID)
+	answers := make(chan bool, len(helperVMs))
+	for _, helper := range helperVMs {
 		go func() { answers <- p.askHelper(ctx, helper, vm) }()
 	}
 	answered := false
-	for range ask {
+	for range helperVMs {
 		if <-answers {
 			answered = true
 			cancel()
@@ -195,13 +195,13 @@
 	return list
 }
 
-// randomMembers returns up to n random other members that count as alive.
-func (p *Peers) randomMembers(n int, without core.VMID) []core.VM {
+// randomMembers returns up to n random other members that count as alive, not including excluded.
+func (p *Peers) randomMembers(n int, excluded core.VMID) []core.VM {
 	list := p.aliveOthers()
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	picked := make([]core.VM, 0, n)
 	for _, vm := range list {
-		if len(picked) < n && vm.ID != without {
+		if len(picked) < n && vm.ID != excluded {
 			picked = append(picked, vm)
 		}
 	}
--- a/core/peers/queue.go
+++ b/core/peers/queue.go
@@ -8,7 +8,7 @@
 
 // Limits of the size of a message. The unit is an update without addresses, which has about 30 bytes.
 const (
-	// aliveWeight is the size of an update with addresses, as of a live member.
+	// aliveWeight is the size of an update with addresses. Only updates of live members have them.
 	aliveWeight = 3
 	minWeight   = 6 * aliveWeight
 	// maxWeight is used while many updates are pending, as after a network partition. It limits a message
@@ -18,8 +18,8 @@
 	// and maxWeight.
 	backlogDivisor = 2
 	maxMarks       = 6
-	// An update is dropped after it was sent or received transmitFactor times the binary logarithm of the
-	// number of members, and at least minTransmits times.
+	// An update is dropped from the queue after it was sent or received a number of times: transmitFactor
+	// times the binary logarithm of the number of members, at least minTransmits.
 	transmitFactor = 2
 	minTransmits   = 12
 )
--- a/core/peers/state.go
+++ b/core/peers/state.go
@@ -17,8 +17,8 @@
 // has healed.
 const maxFreshDeathAge = 30 * time.Second
 
-// reportedDeadFactor extends the suspicion time of a member that only other members declared dead, so that
-// refutations have time to spread when many members are affected.
+// reportedDeadFactor multiplies the suspicion timeout of a member that only other members declared dead, so
+// that refutations have time to spread when many members are affected.
 const reportedDeadFactor = 2
 
 // maxIncarnation limits incarnations and stamps from the network, so that increments can't overflow.
@@ -31,7 +31,7 @@
 	incarnation uint64
 	// since is when the status was adopted here.
 	since time.Time
-	// accused is set if an old record says that the member is dead. It is then probed next.
+	// accused is set if an old record says that the member is dead. The member is then probed next.
 	accused bool
 	// reportedDead is set if the member is suspect because of another member's fresh record that it is
 	// dead.
@@ -202,8 +202,8 @@
 	return true
 }
 
-// handleDeathReport handles a record that says that a member is dead which is alive in this state. A
-// fresh record makes it suspect. An old record comes from the other side of a network partition: the
+// handleDeathReport handles a record of the death of a member that is alive in this state. A fresh record
+// makes it suspect. An old record comes from the other side of a network partition: the
 // member stays alive and is probed soon, and the record is passed on until the member refutes it.
 func (s *state) handleDeathReport(m *member, u Update, now time.Time) bool {
 	if time.Duration(u.Age)*time.Second <= maxFreshDeathAge {
