--- a/core/topo/feed.go
+++ b/core/topo/feed.go
@@ -54,6 +54,7 @@
 func (f *Feed) Name() string { return "feed/" + f.cfg.Title }
 
 // Run lists and watches the keys until ctx ends, and returns nil. It retries failed calls with a backoff.
+// While the store can't be reached, the state that was delivered last stays in force.
 func (f *Feed) Run(ctx context.Context) error {
 	var version core.Version
 	listed := false
--- a/core/topo/topo.go
+++ b/core/topo/topo.go
@@ -28,7 +28,7 @@
 // restores entries that expired during an outage within about 2 s after the outage.
 const missingGracePeriod = 2500 * time.Millisecond
 
-// Consistency is the consistency of a route's reads.
+// Consistency is the guarantee for the reads of a route.
 type Consistency uint8
 
 // Consistencies of routes.
--- a/core/topo/topo_test.go
+++ b/core/topo/topo_test.go
@@ -113,7 +113,7 @@
 
 // Guards against a change that is missed for too long after the store dropped its history and left the
 // watch waiting: with watches of 20 s, configurations were late 11 times. The change must be known
-// within 5 s.
+// within the 5 s after which configurations must be in force in time again.
 func TestWatchMissesChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{version: 3}
