--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -121,7 +121,7 @@
 	})
 }
 
-// Guards against a VM that is stopping and is not listed as leaving by the others.
+// Guards against a VM that is stopping and is still given work, since the others don't list it as leaving.
 func TestLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{entries: map[string]core.Entry{}}
