--- a/core/mirror/mirror.go
+++ b/core/mirror/mirror.go
@@ -31,8 +31,8 @@
 	// maxEvents is the number of changes that are kept for other VMs. A VM that is further behind must
 	// list the entries again.
 	maxEvents = 1024
-	// staleAfter is the time without an answer from the store after which a mirror isn't used. A watch
-	// takes up to 4 s.
+	// staleAfter is the time without an answer from the store after which a mirror isn't used. It is longer
+	// than a watch without changes, which takes 4 s.
 	staleAfter = 5 * time.Second
 	// callMargin is the part of a call's timeout that exceeds the wait time of the watch.
 	callMargin = 300 * time.Millisecond
