--- a/core/fakes/fault.go
+++ b/core/fakes/fault.go
@@ -146,10 +146,10 @@
 	f(g.node(id))
 }
 
-func (g *Group) isCut(r direction) bool {
+func (g *Group) isCut(d direction) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.cuts[r]
+	return g.cuts[d]
 }
 
 func (g *Group) isDown(n *node) bool {
--- a/core/fakes/group.go
+++ b/core/fakes/group.go
@@ -45,7 +45,7 @@
 	nodes   []*node
 	cuts    map[direction]bool
 	answers map[Call]*answerFault
-	// primaries records the primaries of each term.
+	// primaries records the primaries of each term, for the check that a term has only one.
 	primaries map[core.Term]map[core.UpstreamID]bool
 }
 
@@ -66,8 +66,9 @@
 	heardAt     time.Time
 	down        bool
 	leaving     bool
-	thawed      chan struct{}
-	slowFactor  int
+	// thawed is set while the node is frozen. Thaw closes it.
+	thawed     chan struct{}
+	slowFactor int
 }
 
 // NewGroup starts a group. It must be closed.
@@ -132,13 +133,13 @@
 func (g *Group) PrimariesByTerm() map[core.Term][]core.UpstreamID {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	reigns := make(map[core.Term][]core.UpstreamID, len(g.primaries))
+	byTerm := make(map[core.Term][]core.UpstreamID, len(g.primaries))
 	for t, ids := range g.primaries {
 		for id := range ids {
-			reigns[t] = append(reigns[t], id)
+			byTerm[t] = append(byTerm[t], id)
 		}
 	}
-	return reigns
+	return byTerm
 }
 
 // Log returns a copy of the upstream's log.
--- a/core/fakes/store.go
+++ b/core/fakes/store.go
@@ -156,7 +156,7 @@
 	return id, err
 }
 
-// KeepAlive implements core.Store. It doesn't extend the lease.
+// KeepAlive implements core.Store. It doesn't extend the lease; tests end leases with ExpireLeases.
 func (s *Store) KeepAlive(ctx context.Context, id core.LeaseID) error {
 	return s.do(ctx, func() error {
 		if _, ok := s.leases[id]; !ok {
