--- a/stand/kvsim/calls.go
+++ b/stand/kvsim/calls.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// Calls counts what clients asked of the platform.
+// Calls holds the numbers of API calls that clients made. Its JSON form is the response of GET /v1/calls.
 type Calls struct {
-	// Reads and Writes are the calls since the start or the last reset. A watch counts as one read.
+	// Reads and Writes count the accepted calls since the start or the last reset. A watch counts as
+	// one read.
 	Reads  int
 	Writes int
-	// Watches is how many of the reads were watches.
+	// Watches is the number of reads that were watches.
 	Watches int
-	// Waiting is the number of watches that wait now, MaxWaiting the most there were.
+	// Waiting is the number of watches that are blocked now, MaxWaiting its maximum.
 	Waiting    int
 	MaxWaiting int
-	// MaxReads and MaxWrites are the most calls in one second.
+	// MaxReads and MaxWrites are the highest numbers of calls within one second.
 	MaxReads  int
 	MaxWrites int
-	// Refused is the number of calls above a rate limit.
+	// Refused is the number of calls rejected by a rate limit.
 	Refused int
 }
 
-// callCounter counts calls in total and by second.
+// callCounter counts calls in total and within the current second.
 type callCounter struct {
 	mu     sync.Mutex
 	calls  Calls
@@ -32,16 +33,17 @@
 	writes int
 }
 
-// admit counts a call and returns false if it is above the limit of calls per second.
+// admit counts a call. It returns false if the call exceeds the limit of calls per second; 0 means no
+// limit.
 func (c *callCounter) admit(write bool, limit int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if now := time.Now().Unix(); now != c.second {
 		c.second, c.reads, c.writes = now, 0, 0
 	}
-	total, inSecond, most := &c.calls.Reads, &c.reads, &c.calls.MaxReads
+	total, inSecond, peak := &c.calls.Reads, &c.reads, &c.calls.MaxReads
 	if write {
-		total, inSecond, most = &c.calls.Writes, &c.writes, &c.calls.MaxWrites
+		total, inSecond, peak = &c.calls.Writes, &c.writes, &c.calls.MaxWrites
 	}
 	if limit > 0 && *inSecond >= limit {
 		c.calls.Refused++
@@ -49,7 +51,7 @@
 	}
 	*total++
 	*inSecond++
-	*most = max(*most, *inSecond)
+	*peak = max(*peak, *inSecond)
 	return true
 }
 
@@ -74,7 +76,7 @@
 	return s.calls.calls
 }
 
-// ResetCalls sets all counts but that of the waiting watches to 0.
+// ResetCalls sets all counts to 0, except those of the blocked watches.
 func (s *Server) ResetCalls() {
 	s.calls.mu.Lock()
 	defer s.calls.mu.Unlock()
--- a/stand/kvsim/client.go
+++ b/stand/kvsim/client.go
@@ -7,16 +7,16 @@
 	"net/http"
 )
 
-// errNoAnswer is what a client sees when the server closes the connection without an answer.
-var errNoAnswer = errors.New("connection closed without an answer")
+// errNoResponse is returned to a client if the handler aborts the call, as a closed connection would be.
+var errNoResponse = errors.New("connection closed without an answer")
 
-// Client returns an HTTP client that calls the server in this process, without a network. It works
-// on the fake clock of testing/synctest.
+// Client returns an HTTP client that calls the server's handlers in this process, without a network, so
+// that it works on the fake clock of testing/synctest.
 func (s *Server) Client() *http.Client {
 	return &http.Client{Transport: &localTransport{handler: s}}
 }
 
-// localTransport runs the handler in a goroutine per call.
+// localTransport is an http.RoundTripper that runs the handler in a goroutine per call.
 type localTransport struct {
 	handler http.Handler
 }
@@ -27,9 +27,9 @@
 	if req.Body == nil {
 		req.Body = http.NoBody
 	}
-	answer := &localAnswer{header: make(http.Header), status: http.StatusOK}
+	resp := &localResponse{header: make(http.Header), status: http.StatusOK}
 	done := make(chan error, 1)
-	go func() { done <- answer.serve(t.handler, req) }()
+	go func() { done <- resp.serve(t.handler, req) }()
 	select {
 	case <-r.Context().Done():
 		return nil, r.Context().Err()
@@ -39,21 +39,21 @@
 		}
 	}
 	return &http.Response{
-		Status: http.StatusText(answer.status), StatusCode: answer.status,
+		Status: http.StatusText(resp.status), StatusCode: resp.status,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: answer.header, Body: io.NopCloser(&answer.body),
-		ContentLength: int64(answer.body.Len()), Request: r,
+		Header: resp.header, Body: io.NopCloser(&resp.body),
+		ContentLength: int64(resp.body.Len()), Request: r,
 	}, nil
 }
 
-// localAnswer collects the answer of a handler.
-type localAnswer struct {
+// localResponse is an http.ResponseWriter that buffers the response.
+type localResponse struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-func (a *localAnswer) serve(h http.Handler, r *http.Request) (err error) {
+func (a *localResponse) serve(h http.Handler, r *http.Request) (err error) {
 	defer func() {
 		v := recover()
 		if v == nil {
@@ -62,12 +62,12 @@
 		if cause, ok := v.(error); !ok || !errors.Is(cause, http.ErrAbortHandler) {
 			panic(v)
 		}
-		err = errNoAnswer
+		err = errNoResponse
 	}()
 	h.ServeHTTP(a, r)
 	return nil
 }
 
-func (a *localAnswer) Header() http.Header         { return a.header }
-func (a *localAnswer) Write(p []byte) (int, error) { return a.body.Write(p) }
-func (a *localAnswer) WriteHeader(status int)      { a.status = status }
+func (a *localResponse) Header() http.Header         { return a.header }
+func (a *localResponse) Write(p []byte) (int, error) { return a.body.Write(p) }
+func (a *localResponse) WriteHeader(status int)      { a.status = status }
--- a/stand/kvsim/faults.go
+++ b/stand/kvsim/faults.go
@@ -8,37 +8,44 @@
 	"time"
 )
 
-// Names of the faults.
+// Names of the faults, as SetFault and PUT /v1/fault/NAME take them.
 const (
-	// FaultDown closes every connection without an answer while it is on. Value: true.
+	// FaultDown closes every connection without a response while it is on. Value: true.
 	FaultDown = "down"
 	// FaultSlow delays every call. Value: a duration.
 	FaultSlow = "slow"
-	// FaultLostAnswer loses the answers of writes after they took effect. Value: how many.
+	// FaultLostAnswer drops the responses to the next writes after they took effect. Value: the number of
+	// responses to drop.
 	FaultLostAnswer = "lost"
-	// FaultStale answers reads from a place that lags. Value: a duration up to 2 minutes.
+	// FaultStale answers reads with the state of that long ago, as a lagging server does. Value: a
+	// duration up to 2 minutes.
 	FaultStale = "stale"
-	// FaultListLag makes the list of VMs lag. Value: a duration up to 2 minutes.
+	// FaultListLag answers reads of the VM list with its state of that long ago. Value: a duration up to
+	// 2 minutes.
 	FaultListLag = "listlag"
 )
 
-// faults holds the faults that are on.
+// faults holds the faults that are on. It is safe for concurrent use.
 type faults struct {
-	mu      sync.Mutex
-	down    chan struct{}
-	isOff   bool
-	slow    time.Duration
-	lost    int
-	stale   time.Duration
-	list    time.Duration
-	current map[string]string
+	mu sync.Mutex
+	// downCh is closed while FaultDown is on.
+	downCh     chan struct{}
+	downActive bool
+	slow       time.Duration
+	// lostAnswers is the number of responses to writes still to be dropped.
+	lostAnswers int
+	stale       time.Duration
+	vmListLag   time.Duration
+	// active holds the values of the faults that are on, by name.
+	active map[string]string
 }
 
 func newFaults() *faults {
-	return &faults{down: make(chan struct{}), current: make(map[string]string)}
+	return &faults{downCh: make(chan struct{}), active: make(map[string]string)}
 }
 
-// SetFault switches a fault on. The value depends on the fault's name.
+// SetFault switches a fault on. The constants Fault... describe the values. The value 0 switches any of
+// them off. It returns an error if the name or the value is invalid.
 func (s *Server) SetFault(name, value string) error {
 	if err := s.faults.set(name, value); err != nil {
 		return err
@@ -67,22 +74,22 @@
 	case FaultDown:
 		err = f.setDown(value)
 	case FaultSlow:
-		f.slow, err = parseLag(value, off)
+		f.slow, err = parseFaultDuration(value, off)
 	case FaultLostAnswer:
-		f.lost, err = strconv.Atoi(value)
+		f.lostAnswers, err = strconv.Atoi(value)
 	case FaultStale:
-		f.stale, err = parseLag(value, off)
+		f.stale, err = parseFaultDuration(value, off)
 	case FaultListLag:
-		f.list, err = parseLag(value, off)
+		f.vmListLag, err = parseFaultDuration(value, off)
 	default:
 		return fmt.Errorf("unknown fault %q: want down, slow, lost, stale or listlag", name)
 	}
 	if err != nil {
 		return fmt.Errorf("fault %s: value %q: %w", name, value, err)
 	}
-	delete(f.current, name)
+	delete(f.active, name)
 	if !off {
-		f.current[name] = value
+		f.active[name] = value
 	}
 	return nil
 }
@@ -92,17 +99,17 @@
 	if err != nil {
 		return err
 	}
-	if down && !f.isOff {
-		close(f.down)
+	if down && !f.downActive {
+		close(f.downCh)
 	}
-	if !down && f.isOff {
-		f.down = make(chan struct{})
+	if !down && f.downActive {
+		f.downCh = make(chan struct{})
 	}
-	f.isOff = down
+	f.downActive = down
 	return nil
 }
 
-func parseLag(value string, off bool) (time.Duration, error) {
+func parseFaultDuration(value string, off bool) (time.Duration, error) {
 	if off {
 		return 0, nil
 	}
@@ -110,8 +117,8 @@
 	if err != nil {
 		return 0, err
 	}
-	if d < 0 || d > historyTime {
-		return 0, fmt.Errorf("want 0s to %s", historyTime)
+	if d < 0 || d > maxLag {
+		return 0, fmt.Errorf("want 0s to %s", maxLag)
 	}
 	return d, nil
 }
@@ -119,14 +126,15 @@
 func (f *faults) isDown() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.isOff
+	return f.downActive
 }
 
-// downChannel is closed while the fault "down" is on, so that it also ends waiting watches.
+// downChannel returns a channel that is closed while FaultDown is on, so that the fault also ends
+// blocked watches.
 func (f *faults) downChannel() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.down
+	return f.downCh
 }
 
 func (f *faults) delay() time.Duration {
@@ -144,24 +152,24 @@
 func (f *faults) listLag() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.list
+	return f.vmListLag
 }
 
-// takeLost reports whether the answer to this write is to be lost.
-func (f *faults) takeLost() bool {
+// takeLostAnswer reports whether the response to this write must be dropped, and counts it.
+func (f *faults) takeLostAnswer() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lost <= 0 {
+	if f.lostAnswers <= 0 {
 		return false
 	}
-	f.lost--
+	f.lostAnswers--
 	return true
 }
 
 func (s *Server) listFaults(w http.ResponseWriter, _ *http.Request) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
-	writeJSON(w, s.faults.current)
+	writeJSON(w, s.faults.active)
 }
 
 func (s *Server) putFault(w http.ResponseWriter, r *http.Request) {
--- a/stand/kvsim/history.go
+++ b/stand/kvsim/history.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// history holds the states of one thing by the time at which they took effect, so that a lagging
-// reader can be given an old one.
+// history holds the versions of a value with the times at which they took effect, so that stale reads can
+// be simulated.
 type history[T any] struct {
 	states []state[T]
 }
@@ -13,11 +13,11 @@
 	value T
 }
 
-// add appends a state and forgets those that no reader can reach anymore.
+// add appends a state and drops those that no read can return anymore, since they are older than maxLag.
 func (h *history[T]) add(at time.Time, value T) {
 	h.states = append(h.states, state[T]{at: at, value: value})
 	drop := 0
-	for drop+1 < len(h.states) && h.states[drop+1].at.Before(at.Add(-historyTime)) {
+	for drop+1 < len(h.states) && h.states[drop+1].at.Before(at.Add(-maxLag)) {
 		drop++
 	}
 	h.states = h.states[drop:]
@@ -32,7 +32,7 @@
 	return h.states[len(h.states)-1].value
 }
 
-// asOf returns the state that was in effect at the time.
+// asOf returns the state that was in effect at the time, or the zero value if there was none.
 func (h *history[T]) asOf(at time.Time) T {
 	var zero T
 	if h == nil {
--- a/stand/kvsim/keys.go
+++ b/stand/kvsim/keys.go
@@ -9,25 +9,28 @@
 	"time"
 )
 
-// indexHeader is the response header that holds the index to watch from.
+// indexHeader is the response header with the index to pass to the next watch.
 const indexHeader = "X-Consul-Index"
 
-// stalePoll is how often a watch at a lagging place looks for a change that has become visible.
-const stalePoll = 20 * time.Millisecond
+// stalePollInterval is how often a watch checks for changes that have become visible while FaultStale is
+// on.
+const stalePollInterval = 20 * time.Millisecond
 
-// entry is one state of a key. An entry that is not present is a tombstone with the index of the
-// deletion.
+// entry is one version of a key. An entry that is not present is a tombstone, with the index of the
+// deletion in modify.
 type entry struct {
 	value   []byte
 	present bool
 	create  uint64
 	modify  uint64
-	locks   uint64
+	// locks counts how often a session has acquired the key.
+	locks uint64
+	// session is the id of the session that holds the key, or empty.
 	session string
 }
 
-// keyAnswer is the published JSON form of an entry.
-type keyAnswer struct {
+// keyResponse is an entry in the JSON format of the Consul API.
+type keyResponse struct {
 	LockIndex   uint64
 	Key         string
 	Flags       uint64
@@ -60,7 +63,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	writeJSON(w, []keyAnswer{{
+	writeJSON(w, []keyResponse{{
 		LockIndex: e.locks, Key: key, Value: e.value, Session: e.session,
 		CreateIndex: e.create, ModifyIndex: e.modify,
 	}})
@@ -81,8 +84,8 @@
 	return after, min(wait, defaultMaxWait), nil
 }
 
-// visible returns the entry as a reader sees it now, and a channel that is closed at the next
-// change of any key.
+// visible returns the entry that a read returns now, and a channel that is closed at the next change of
+// any key.
 func (s *Server) visible(key string) (entry, <-chan struct{}) {
 	stale := s.faults.staleness()
 	s.mu.Lock()
@@ -94,7 +97,8 @@
 	return s.keys[key].last(), s.changed
 }
 
-// waitKey blocks until the key's index is above after, the time is over or the client goes away.
+// waitKey blocks until the key's index is above after, the wait time has passed, FaultDown is switched on
+// or the client cancels the call.
 func (s *Server) waitKey(r *http.Request, key string, after uint64, wait time.Duration) entry {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -121,12 +125,12 @@
 	}
 }
 
-// pollTimer wakes a watch when a change becomes visible by the passing of time: at a lagging
-// place, or when a lease expires.
+// pollTimer returns a timer that wakes a watch for changes that come with time alone: a stale read that
+// reaches a newer version, or a session that expires. The function stops the timer.
 func (s *Server) pollTimer() (<-chan time.Time, func()) {
 	d := time.Duration(0)
 	if s.faults.staleness() > 0 {
-		d = stalePoll
+		d = stalePollInterval
 	} else if next, ok := s.nextExpiry(); ok {
 		d = max(time.Until(next), time.Millisecond)
 	}
@@ -149,7 +153,7 @@
 		return
 	}
 	q := r.URL.Query()
-	if count(q.Has("cas"), q.Has("acquire"), q.Has("release")) > 1 {
+	if countTrue(q.Has("cas"), q.Has("acquire"), q.Has("release")) > 1 {
 		http.Error(w, "conflicting flags: cas, acquire, release", http.StatusBadRequest)
 		return
 	}
@@ -165,7 +169,7 @@
 			http.Error(w, "cas: want a number", http.StatusBadRequest)
 			return
 		}
-		if !matches(old, expect) {
+		if !hasIndex(old, expect) {
 			writeJSON(w, false)
 			return
 		}
@@ -194,7 +198,9 @@
 	writeJSON(w, true)
 }
 
-func matches(e entry, expect uint64) bool {
+// hasIndex reports whether a compare-and-swap that expects the index may replace the entry. Index 0 stands
+// for a key that doesn't exist.
+func hasIndex(e entry, expect uint64) bool {
 	if !e.present {
 		return expect == 0
 	}
@@ -209,7 +215,7 @@
 	old := s.keys[key].last()
 	if cas := r.URL.Query().Get("cas"); cas != "" {
 		expect, err := strconv.ParseUint(cas, 10, 64)
-		if err != nil || !matches(old, expect) {
+		if err != nil || !hasIndex(old, expect) {
 			writeJSON(w, false)
 			return
 		}
@@ -237,7 +243,7 @@
 	s.notify()
 }
 
-func count(flags ...bool) int {
+func countTrue(flags ...bool) int {
 	n := 0
 	for _, f := range flags {
 		if f {
--- a/stand/kvsim/kvsim.go
+++ b/stand/kvsim/kvsim.go
@@ -1,7 +1,7 @@
 // Package kvsim simulates the platform that snipewall runs on: a key-value store with
-// compare-and-swap, long-poll watches and leases, and the list of VMs. Its HTTP interface has the
-// shape of the published Consul key-value and session API. Faults are switched on and off over HTTP
-// while it runs, and calls are counted, so that tests can check what a client costs.
+// compare-and-swap, long-poll watches and leases, and the list of VMs. Its HTTP interface follows the
+// published Consul key-value and session API. Faults are switched on and off over HTTP while it runs,
+// and calls are counted, so that tests can check how many calls a client makes.
 //
 // The simulator serves:
 //
@@ -12,7 +12,7 @@
 //	DELETE /v1/kv/KEY[?cas=N]                delete the key
 //	PUT    /v1/session/create                body {"TTL": "10s", "Behavior": "delete"}
 //	PUT    /v1/session/renew/ID, /v1/session/destroy/ID
-//	GET    /v1/vms                           list of VMs, as it was some time ago
+//	GET    /v1/vms                           list of VMs, with its lag
 //	PUT    /v1/vms/ID, DELETE /v1/vms/ID     change the list (body: core.VM as JSON)
 //	PUT    /v1/fault/NAME?value=V            switch a fault on, GET /v1/fault lists them
 //	DELETE /v1/fault/NAME                    switch a fault off
@@ -20,7 +20,7 @@
 //
 // # Usage
 //
-// As a library, on the fake clock of testing/synctest or not:
+// As a library, with the real clock or the fake clock of testing/synctest:
 //
 //	sim := kvsim.New(kvsim.Config{})
 //	client := sim.Client()
@@ -38,21 +38,21 @@
 
 // Defaults of Config.
 const (
-	defaultMaxValue = 1 << 20
-	defaultMaxWait  = 10 * time.Minute
-	defaultWait     = 5 * time.Minute
-	// historyTime is how far back a stale read or the list of VMs can reach.
-	historyTime = 2 * time.Minute
+	defaultMaxValueBytes = 1 << 20
+	defaultMaxWait       = 10 * time.Minute
+	defaultWait          = 5 * time.Minute
+	// maxLag limits how old the results of stale reads and the list of VMs can be.
+	maxLag = 2 * time.Minute
 )
 
-// Config sets up a Server. The zero value works.
+// Config configures a Server. The zero value works.
 type Config struct {
 	// MaxValue is the limit of a value in bytes, 1 MiB if 0.
 	MaxValue int
-	// ListLag is how far the list of VMs lags behind.
+	// ListLag is how far the list of VMs lags behind its changes.
 	ListLag time.Duration
-	// ReadRate and WriteRate are the calls per second above which the server answers 429; 0 means no
-	// limit.
+	// ReadRate and WriteRate are the limits of calls per second, above which the server answers 429;
+	// 0 means no limit.
 	ReadRate  int
 	WriteRate int
 	// VMs is the list of VMs at the start.
@@ -71,13 +71,14 @@
 	keys     map[string]*history[entry]
 	sessions map[string]*session
 	vms      *history[[]core.VM]
-	changed  chan struct{}
+	// changed is closed and replaced at each change of a key, a session or a fault.
+	changed chan struct{}
 }
 
 // New returns a running simulator without any keys.
 func New(cfg Config) *Server {
 	if cfg.MaxValue == 0 {
-		cfg.MaxValue = defaultMaxValue
+		cfg.MaxValue = defaultMaxValueBytes
 	}
 	s := &Server{
 		cfg:      cfg,
@@ -115,8 +116,8 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// platform wraps a handler of the platform's own interface with faults, counts and rate limits.
-// The handlers for faults, counts and changes of the VM list stay usable during a fault.
+// platform wraps a handler of the platform's API with faults, call counts and rate limits. The handlers
+// that control the simulator aren't wrapped, so that faults don't block them.
 func (s *Server) platform(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if s.faults.isDown() {
@@ -133,7 +134,7 @@
 		if s.faults.isDown() {
 			panic(http.ErrAbortHandler)
 		}
-		if write && s.faults.takeLost() {
+		if write && s.faults.takeLostAnswer() {
 			next(discardWriter{header: make(http.Header)}, r)
 			panic(http.ErrAbortHandler)
 		}
@@ -148,7 +149,7 @@
 	return s.cfg.ReadRate
 }
 
-// sleep waits for d and returns false if the client went away before.
+// sleep waits for d. It returns false if the client canceled the call before.
 func sleep(r *http.Request, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -160,13 +161,13 @@
 	}
 }
 
-// notify wakes the waiting watches. The caller holds mu.
+// notify wakes the blocked watches. The caller holds mu.
 func (s *Server) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// discardWriter takes the answer of a write whose answer is to be lost.
+// discardWriter is an http.ResponseWriter for FaultLostAnswer. It discards the response.
 type discardWriter struct{ header http.Header }
 
 func (d discardWriter) Header() http.Header         { return d.header }
--- a/stand/kvsim/kvsim_test.go
+++ b/stand/kvsim/kvsim_test.go
@@ -13,12 +13,12 @@
 	"snipewall/core"
 )
 
-// do makes a call and returns the status and the body, or 0 without an answer.
+// do makes a call and returns the status and the body, or 0 and the error text if there is no response.
 func do(t *testing.T, s *Server, method, path, body string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://platform"+path, strings.NewReader(body))
 	assert.NilError(t, err)
-	// What curl -d sends. It must not make the server take the body for a form.
+	// curl -d sends this header. The server must not parse the body as a form because of it.
 	req.Header.Set("Content-Type", "application/x-www-form-urlencoded")
 	resp, err := s.Client().Do(req)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return resp.StatusCode, strings.TrimSpace(string(data))
 }
 
-// Guards against a simulator that is kinder or stricter than the published interface.
+// Guards against a simulator that is more lenient or stricter than the published Consul API.
 func TestKeys(t *testing.T) {
 	s := New(Config{MaxValue: 10})
 	steps := []struct {
@@ -63,7 +63,8 @@
 	}
 }
 
-// Guards against a session without the behavior "delete" that deletes keys or keeps them held.
+// Guards against an expired session without the behavior "delete" that deletes its keys or still holds
+// them.
 func TestSessionReleases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{})
@@ -77,7 +78,8 @@
 	})
 }
 
-// Guards against a list without lag, and against marks that can't be set while the platform is down.
+// Guards against a VM list that ignores its lag, and against VMs that can't be changed while the platform
+// is down.
 func TestListLagsAndFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{ListLag: 5 * time.Second, VMs: []core.VM{{ID: "vm-1"}}})
@@ -99,7 +101,8 @@
 	})
 }
 
-// Guards against a client that exceeds the platform's rates unnoticed.
+// Guards against rate limits that aren't enforced, counted or reset, which would hide a client that makes
+// too many calls.
 func TestRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{ReadRate: 2})
--- a/stand/kvsim/sessions.go
+++ b/stand/kvsim/sessions.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// deleteBehavior makes the end of a session delete its keys instead of releasing them.
+// deleteBehavior is the Behavior of a session whose keys are deleted, rather than released, at its end.
 const deleteBehavior = "delete"
 
 type session struct {
-	ttl      time.Duration
+	ttl time.Duration
+	// deletes is whether the session's keys are deleted at its end.
 	deletes  bool
 	deadline time.Time
 }
 
-// sessionRequest is the published body of a session's creation.
+// sessionRequest is the body of PUT /v1/session/create, as in the Consul API.
 type sessionRequest struct {
 	Name     string
 	TTL      string
@@ -37,7 +38,7 @@
 	id := rand.Text()
 	s.mu.Lock()
 	s.sessions[id] = &session{ttl: ttl, deletes: req.Behavior == deleteBehavior, deadline: time.Now().Add(ttl)}
-	// Wakes the watches, so that they wait for the expiry of this session too.
+	// Wakes the watches, so that their timers take the expiry of this session into account.
 	s.notify()
 	s.mu.Unlock()
 	writeJSON(w, map[string]string{"ID": id})
@@ -64,14 +65,14 @@
 	writeJSON(w, true)
 }
 
-// ExpireSession ends the session as if its time had run out.
+// ExpireSession ends the session as if its TTL had expired.
 func (s *Server) ExpireSession(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endSession(id)
 }
 
-// expire ends the sessions whose time has run out. The caller holds mu.
+// expire ends the sessions whose TTL has expired. The caller holds mu.
 func (s *Server) expire(now time.Time) {
 	for id, ses := range s.sessions {
 		if !now.Before(ses.deadline) {
@@ -80,7 +81,7 @@
 	}
 }
 
-// nextExpiry returns when the next session ends unless it is renewed.
+// nextExpiry returns the earliest deadline of a session, or false if there are no sessions.
 func (s *Server) nextExpiry() (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/stand/kvsim/vms.go
+++ b/stand/kvsim/vms.go
@@ -11,12 +11,12 @@
 	"snipewall/core"
 )
 
-// SetVM adds the VM to the list or replaces it. Readers see it after the list's lag.
+// SetVM adds the VM to the list or replaces it. Reads return the change after the list's lag.
 func (s *Server) SetVM(vm core.VM) {
 	s.editVMs(vm.ID, &vm)
 }
 
-// RemoveVM takes the VM off the list. Readers see it after the list's lag.
+// RemoveVM removes the VM from the list. Reads return the change after the list's lag.
 func (s *Server) RemoveVM(id core.VMID) {
 	s.editVMs(id, nil)
 }
@@ -44,8 +44,8 @@
 
 func (s *Server) putVM(w http.ResponseWriter, r *http.Request) {
 	id := core.VMID(r.PathValue("id"))
-	if mark := r.URL.Query().Get("leaving"); mark != "" {
-		s.markVM(w, id, mark)
+	if leaving := r.URL.Query().Get("leaving"); leaving != "" {
+		s.setLeaving(w, id, leaving)
 		return
 	}
 	var vm core.VM
@@ -57,8 +57,8 @@
 	s.SetVM(vm)
 }
 
-func (s *Server) markVM(w http.ResponseWriter, id core.VMID, mark string) {
-	leaving, err := strconv.ParseBool(mark)
+func (s *Server) setLeaving(w http.ResponseWriter, id core.VMID, value string) {
+	leaving, err := strconv.ParseBool(value)
 	if err != nil {
 		http.Error(w, "leaving: want true or false", http.StatusBadRequest)
 		return
