--- a/stand/memnet/conn.go
+++ b/stand/memnet/conn.go
@@ -7,43 +7,43 @@
 	"time"
 )
 
-// bufferSize limits the data on the way in one direction of a connection.
-const bufferSize = 1 << 20
+// bufferBytes limits the data in flight in one direction of a connection.
+const bufferBytes = 1 << 20
 
-// segmentSize limits the data that is put on the way at once.
-const segmentSize = 64 << 10
+// segmentBytes limits the size of a segment.
+const segmentBytes = 64 << 10
 
-// chunk is data on the way.
-type chunk struct {
+// segment is data in flight.
+type segment struct {
 	data []byte
-	// due is when the data has crossed the link.
-	due time.Time
+	// arrivesAt is when the data reaches the receiver.
+	arrivesAt time.Time
 }
 
-// stream is one direction of a connection.
+// stream is one direction of a connection. Its writer and its reader are the two hosts' ends.
 type stream struct {
 	n    *Network
 	link link
 	mu   sync.Mutex
 	// changed is closed and replaced when the stream or a deadline changes.
 	changed chan struct{}
-	chunks  []chunk
-	size    int
-	// ended tells that the sending side closed; broken that the receiving side did.
-	ended  bool
-	broken bool
-	silent bool
-	// readBy and writeBy are the deadlines of the two sides.
-	readBy  time.Time
-	writeBy time.Time
+	queue   []segment
+	// buffered is the number of bytes in queue.
+	buffered     int
+	writerClosed bool
+	readerClosed bool
+	// silent drops all data, see Network.Silence.
+	silent        bool
+	readDeadline  time.Time
+	writeDeadline time.Time
 }
 
 func newStream(n *Network, l link) *stream {
 	return &stream{n: n, link: l, changed: make(chan struct{})}
 }
 
-// change runs f and wakes those who wait.
-func (s *stream) change(f func()) {
+// update runs f, which may change the stream, and wakes blocked reads and writes.
+func (s *stream) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
@@ -51,130 +51,131 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *stream) silence() { s.change(func() { s.silent = true }) }
+func (s *stream) silence() { s.update(func() { s.silent = true }) }
 
-// read waits for data.
+// read blocks until data has arrived, the stream has ended or the deadline has passed.
 func (s *stream) read(p []byte) (int, error) {
 	for {
-		open, _, cutChanged := s.n.state(s.link)
+		open, _, linksChanged := s.n.linkState(s.link)
 		s.mu.Lock()
-		n, wait, err := s.take(p, open)
+		n, wait, err := s.tryRead(p, open)
 		changed := s.changed
 		s.mu.Unlock()
 		if n > 0 || err != nil || len(p) == 0 {
 			if n > 0 {
-				s.change(func() {})
+				s.update(func() {})
 			}
 			return n, err
 		}
-		await(wait, changed, cutChanged)
+		waitForChange(wait, changed, linksChanged)
 	}
 }
 
-// take returns data that has arrived, or how long to wait, 0 meaning until something changes. The
-// caller holds the mutex.
-func (s *stream) take(p []byte, open bool) (n int, wait time.Duration, err error) {
+// tryRead returns data that has arrived. If there is none, it returns how long to wait, 0 meaning until
+// the stream or the links change. The caller holds the mutex.
+func (s *stream) tryRead(p []byte, open bool) (n int, wait time.Duration, err error) {
 	now := time.Now()
-	if s.broken {
+	if s.readerClosed {
 		return 0, 0, net.ErrClosed
 	}
-	if !s.readBy.IsZero() {
-		if wait = s.readBy.Sub(now); wait <= 0 {
+	if !s.readDeadline.IsZero() {
+		if wait = s.readDeadline.Sub(now); wait <= 0 {
 			return 0, 0, errTimeout
 		}
 	}
-	if !open || s.silent && !s.ended {
+	if !open || s.silent && !s.writerClosed {
 		return 0, wait, nil
 	}
-	if len(s.chunks) == 0 || s.silent {
-		if s.ended {
+	if len(s.queue) == 0 || s.silent {
+		if s.writerClosed {
 			return 0, 0, io.EOF
 		}
 		return 0, wait, nil
 	}
-	c := &s.chunks[0]
-	if due := c.due.Sub(now); due > 0 {
-		if wait == 0 || due < wait {
-			wait = due
+	head := &s.queue[0]
+	if remaining := head.arrivesAt.Sub(now); remaining > 0 {
+		if wait == 0 || remaining < wait {
+			wait = remaining
 		}
 		return 0, wait, nil
 	}
-	n = copy(p, c.data)
-	s.size -= n
-	if c.data = c.data[n:]; len(c.data) == 0 {
-		s.chunks = s.chunks[1:]
+	n = copy(p, head.data)
+	s.buffered -= n
+	if head.data = head.data[n:]; len(head.data) == 0 {
+		s.queue = s.queue[1:]
 	}
 	return n, 0, nil
 }
 
-// write puts data on the way in segments, waiting for space.
+// write sends data in segments. It blocks while the buffer is full.
 func (s *stream) write(p []byte) (int, error) {
 	sent := 0
 	for {
-		segment := p[sent:min(len(p), sent+segmentSize)]
-		if err := s.writeSegment(segment); err != nil {
+		part := p[sent:min(len(p), sent+segmentBytes)]
+		if err := s.writeSegment(part); err != nil {
 			return sent, err
 		}
-		if sent += len(segment); sent == len(p) {
+		if sent += len(part); sent == len(p) {
 			return sent, nil
 		}
 	}
 }
 
 func (s *stream) writeSegment(p []byte) error {
-	_, delay, _ := s.n.state(s.link)
+	_, delay, _ := s.n.linkState(s.link)
 	for {
 		s.mu.Lock()
-		ok, wait, err := s.put(p, delay)
+		ok, wait, err := s.tryWrite(p, delay)
 		changed := s.changed
 		s.mu.Unlock()
 		if err != nil {
 			return err
 		}
 		if ok {
-			s.change(func() {})
+			s.update(func() {})
 			return nil
 		}
-		await(wait, changed, nil)
+		waitForChange(wait, changed, nil)
 	}
 }
 
-// put adds a chunk if there is space. The caller holds the mutex.
-func (s *stream) put(p []byte, delay time.Duration) (ok bool, wait time.Duration, err error) {
+// tryWrite adds a segment if the buffer has space. If not, it returns how long to wait, 0 meaning until the
+// stream changes. The caller holds the mutex.
+func (s *stream) tryWrite(p []byte, delay time.Duration) (ok bool, wait time.Duration, err error) {
 	now := time.Now()
 	switch {
-	case s.ended:
+	case s.writerClosed:
 		return false, 0, net.ErrClosed
-	case s.broken:
+	case s.readerClosed:
 		return false, 0, io.ErrClosedPipe
-	case !s.writeBy.IsZero():
-		if wait = s.writeBy.Sub(now); wait <= 0 {
+	case !s.writeDeadline.IsZero():
+		if wait = s.writeDeadline.Sub(now); wait <= 0 {
 			return false, 0, errTimeout
 		}
 	}
 	if s.silent {
 		return true, 0, nil
 	}
-	if s.size > 0 && s.size+len(p) > bufferSize {
+	if s.buffered > 0 && s.buffered+len(p) > bufferBytes {
 		return false, wait, nil
 	}
-	s.size += len(p)
-	s.chunks = append(s.chunks, chunk{data: append([]byte(nil), p...), due: now.Add(delay)})
+	s.buffered += len(p)
+	s.queue = append(s.queue, segment{data: append([]byte(nil), p...), arrivesAt: now.Add(delay)})
 	return true, 0, nil
 }
 
-// await waits for a change, or for d if it is not 0.
-func await(d time.Duration, changed, cutChanged <-chan struct{}) {
-	var due <-chan time.Time
-	if d > 0 {
-		timer := time.NewTimer(d)
+// waitForChange blocks until one of the channels is closed, or at most for wait if that is not 0.
+func waitForChange(wait time.Duration, changed, linksChanged <-chan struct{}) {
+	var timeout <-chan time.Time
+	if wait > 0 {
+		timer := time.NewTimer(wait)
 		defer timer.Stop()
-		due = timer.C
+		timeout = timer.C
 	}
 	select {
-	case <-due:
+	case <-timeout:
 	case <-changed:
-	case <-cutChanged:
+	case <-linksChanged:
 	}
 }
 
@@ -184,12 +185,12 @@
 	local, remote net.Addr
 }
 
-// pair returns the two ends of a connection.
-func (n *Network) pair(l link, addr net.Addr) (near, far *conn) {
-	forth := newStream(n, l)
+// newConnPair returns the two ends of a connection from l.from to the address on l.to.
+func (n *Network) newConnPair(l link, addr net.Addr) (near, far *conn) {
+	forward := newStream(n, l)
 	back := newStream(n, link{l.to, l.from})
-	near = &conn{in: back, out: forth, local: address(l.from), remote: addr}
-	far = &conn{in: forth, out: back, local: addr, remote: address(l.from)}
+	near = &conn{in: back, out: forward, local: address(l.from), remote: addr}
+	far = &conn{in: forward, out: back, local: addr, remote: address(l.from)}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.conns[near] = struct{}{}
@@ -197,8 +198,8 @@
 	return near, far
 }
 
-// abandon closes both ends of a connection that was never used.
-func (c *conn) abandon(far *conn) {
+// closeBoth closes both ends of a connection whose dial failed.
+func (c *conn) closeBoth(far *conn) {
 	_ = c.Close()
 	_ = far.Close()
 }
@@ -209,10 +210,10 @@
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) { return c.out.write(p) }
 
-// Close implements net.Conn. Data that was written before still arrives.
+// Close implements net.Conn. The other end can still read the data that was written before.
 func (c *conn) Close() error {
-	c.out.change(func() { c.out.ended = true })
-	c.in.change(func() { c.in.broken = true })
+	c.out.update(func() { c.out.writerClosed = true })
+	c.in.update(func() { c.in.readerClosed = true })
 	n := c.out.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -234,12 +235,12 @@
 
 // SetReadDeadline implements net.Conn.
 func (c *conn) SetReadDeadline(t time.Time) error {
-	c.in.change(func() { c.in.readBy = t })
+	c.in.update(func() { c.in.readDeadline = t })
 	return nil
 }
 
 // SetWriteDeadline implements net.Conn.
 func (c *conn) SetWriteDeadline(t time.Time) error {
-	c.out.change(func() { c.out.writeBy = t })
+	c.out.update(func() { c.out.writeDeadline = t })
 	return nil
 }
--- a/stand/memnet/doc.go
+++ b/stand/memnet/doc.go
@@ -1,9 +1,10 @@
-// Package memnet is a network in memory whose links can be cut, delayed and silenced. It serves tests
-// that run a whole group of upstreams and entry VMs in one process, also on the fake clock of
-// testing/synctest: all its waits are on channels and timers.
+// Package memnet is an in-memory network whose links can be cut, delayed and silenced. With it, tests run
+// a whole group of upstreams and entry VMs in one process. It works on the fake clock of
+// testing/synctest, since it blocks only on channels and timers.
 //
-// A host is the part of an address before the colon. A link leads from one host to another, one way.
-// Data on a cut link is held back and arrives when the link is healed, as TCP would retransmit it.
+// A host is the part of an address before the colon. A link is one direction of the traffic between two
+// hosts. Data on a cut link is held back and arrives after the link is healed, as TCP would retransmit
+// it.
 //
 // # Usage
 //
--- a/stand/memnet/memnet_test.go
+++ b/stand/memnet/memnet_test.go
@@ -13,10 +13,10 @@
 	"gotest.tools/v3/assert"
 )
 
-const limit = time.Second
+const readTimeout = time.Second
 
-// open returns both ends of a connection between the hosts a and b.
-func open(t *testing.T, n *Network) (near, far net.Conn) {
+// openConn returns both ends of a connection from host a to host b.
+func openConn(t *testing.T, n *Network) (near, far net.Conn) {
 	t.Helper()
 	lis, err := n.Listen("b:1")
 	assert.NilError(t, err)
@@ -33,7 +33,7 @@
 	return near, <-accepted
 }
 
-// readWithin reads once with a deadline.
+// readWithin reads once, with a deadline d from now.
 func readWithin(c net.Conn, d time.Duration) (string, error) {
 	_ = c.SetReadDeadline(time.Now().Add(d))
 	p := make([]byte, 64)
@@ -41,18 +41,18 @@
 	return string(p[:n]), err
 }
 
-// Guards against links that lose data, deliver it early or ignore a cut.
+// Guards against links that lose data, deliver it before the delay has passed or ignore a cut.
 func TestLinks(t *testing.T) {
 	tests := []struct {
 		name string
-		// before runs before "x" is sent from a to b, after once it is on the way.
+		// before runs before "x" is sent from a to b, after runs while it is in flight.
 		before, after func(n *Network)
 		want          string
 		err           error
 	}{
 		{name: "open", want: "x"},
-		{name: "delay", before: func(n *Network) { n.SetLinkDelay("a", "b", limit/2) }, want: "x"},
-		{name: "long delay", before: func(n *Network) { n.SetDelay(2 * limit) }, err: os.ErrDeadlineExceeded},
+		{name: "delay", before: func(n *Network) { n.SetLinkDelay("a", "b", readTimeout/2) }, want: "x"},
+		{name: "long delay", before: func(n *Network) { n.SetDelay(2 * readTimeout) }, err: os.ErrDeadlineExceeded},
 		{name: "cut", before: func(n *Network) { n.Cut("a", "b") }, err: os.ErrDeadlineExceeded},
 		{name: "cut the other way", before: func(n *Network) { n.Cut("b", "a") }, want: "x"},
 		{name: "cut on the way", after: func(n *Network) { n.CutBoth("a", "b") }, err: os.ErrDeadlineExceeded},
@@ -64,7 +64,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n := New()
-				near, far := open(t, n)
+				near, far := openConn(t, n)
 				if tt.before != nil {
 					tt.before(n)
 				}
@@ -72,7 +72,7 @@
 				if tt.after != nil {
 					tt.after(n)
 				}
-				got, err := readWithin(far, limit)
+				got, err := readWithin(far, readTimeout)
 				assert.Equal(t, got, tt.want)
 				assert.ErrorIs(t, err, tt.err)
 			})
@@ -80,21 +80,21 @@
 	}
 }
 
-// Guards against connections to hosts that are down or cut off that seem to succeed.
+// Guards against dials, reads and writes that succeed although the other host is down or its link is cut.
 func TestDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New()
-		ctx, cancel := context.WithTimeout(context.Background(), limit)
+		ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 		defer cancel()
 		_, err := n.Dial(ctx, "a", "b:1")
 		assert.ErrorIs(t, err, syscall.ECONNREFUSED)
-		near, _ := open(t, n)
+		near, _ := openConn(t, n)
 		n.Cut("b", "a")
 		_, err = n.Dial(ctx, "a", "b:1")
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		n.Heal("b", "a")
 		n.Crash("b")
-		_, err = readWithin(near, limit)
+		_, err = readWithin(near, readTimeout)
 		assert.ErrorIs(t, err, io.EOF)
 		_, err = near.Write([]byte("x"))
 		assert.ErrorIs(t, err, io.ErrClosedPipe)
--- a/stand/memnet/network.go
+++ b/stand/memnet/network.go
@@ -10,35 +10,35 @@
 	"time"
 )
 
-// link is a one-way connection between two hosts.
+// link is one direction of the traffic between two hosts.
 type link struct {
 	from, to string
 }
 
 // Network connects hosts. It is safe for concurrent use.
 type Network struct {
-	mu        sync.Mutex
-	listeners map[string]*listener
-	cut       map[link]bool
-	delays    map[link]time.Duration
-	delay     time.Duration
-	conns     map[*conn]struct{}
+	mu           sync.Mutex
+	listeners    map[string]*listener
+	cut          map[link]bool
+	linkDelays   map[link]time.Duration
+	defaultDelay time.Duration
+	conns        map[*conn]struct{}
 	// changed is closed and replaced when a link is cut or healed.
 	changed chan struct{}
 }
 
-// New returns a network without hosts, on which links are open and have no delay.
+// New returns a network without listeners, on which all links are open and have no delay.
 func New() *Network {
 	return &Network{
-		listeners: make(map[string]*listener),
-		cut:       make(map[link]bool),
-		delays:    make(map[link]time.Duration),
-		conns:     make(map[*conn]struct{}),
-		changed:   make(chan struct{}),
+		listeners:  make(map[string]*listener),
+		cut:        make(map[link]bool),
+		linkDelays: make(map[link]time.Duration),
+		conns:      make(map[*conn]struct{}),
+		changed:    make(chan struct{}),
 	}
 }
 
-// address is a net.Addr.
+// address is the HOST:PORT of a listener or the host of a dialer. It implements net.Addr.
 type address string
 
 // Network implements net.Addr.
@@ -55,31 +55,31 @@
 	return host
 }
 
-// SetDelay sets the one-way delay of all links that have none of their own.
+// SetDelay sets the one-way delay of all links for which SetLinkDelay set none.
 func (n *Network) SetDelay(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.delay = d
+	n.defaultDelay = d
 }
 
-// SetLinkDelay sets the delay of the links between two hosts, in each direction.
+// SetLinkDelay sets the one-way delay of both links between two hosts.
 func (n *Network) SetLinkDelay(a, b string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.delays[link{a, b}] = d
-	n.delays[link{b, a}] = d
+	n.linkDelays[link{a, b}] = d
+	n.linkDelays[link{b, a}] = d
 }
 
-// Cut holds back all data from one host to the other, one way.
+// Cut holds back all data from one host to the other until Heal. The other direction is not affected.
 func (n *Network) Cut(from, to string) { n.setCut(true, link{from, to}) }
 
-// Heal ends a Cut.
+// Heal undoes Cut. The data that was held back arrives.
 func (n *Network) Heal(from, to string) { n.setCut(false, link{from, to}) }
 
-// CutBoth holds back all data between two hosts.
+// CutBoth cuts both links between two hosts.
 func (n *Network) CutBoth(a, b string) { n.setCut(true, link{a, b}, link{b, a}) }
 
-// HealBoth ends a CutBoth.
+// HealBoth heals both links between two hosts.
 func (n *Network) HealBoth(a, b string) { n.setCut(false, link{a, b}, link{b, a}) }
 
 func (n *Network) setCut(cut bool, links ...link) {
@@ -92,16 +92,16 @@
 	n.changed = make(chan struct{})
 }
 
-// Silence makes the open connections between two hosts drop all data for good. New connections
-// work.
+// Silence makes the open connections between two hosts drop all data permanently, without an error on
+// either side. Closing one end is still seen by the other. New connections are not affected.
 func (n *Network) Silence(a, b string) {
-	for _, c := range n.between(func(l link) bool { return l == link{a, b} || l == link{b, a} }) {
+	for _, c := range n.findConns(func(l link) bool { return l == link{a, b} || l == link{b, a} }) {
 		c.out.silence()
 	}
 }
 
-// Crash closes the listeners of the host and resets its connections. The other sides notice it as
-// soon as their links are open.
+// Crash closes the listeners and the connections of the host. The other hosts see their connections closed
+// once the links from the crashed host are open.
 func (n *Network) Crash(host string) {
 	n.mu.Lock()
 	var listeners []*listener
@@ -114,12 +114,12 @@
 	for _, lis := range listeners {
 		_ = lis.Close()
 	}
-	for _, c := range n.between(func(l link) bool { return l.from == host }) {
+	for _, c := range n.findConns(func(l link) bool { return l.from == host }) {
 		_ = c.Close()
 	}
 }
 
-func (n *Network) between(match func(link) bool) []*conn {
+func (n *Network) findConns(match func(link) bool) []*conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var conns []*conn
@@ -131,25 +131,27 @@
 	return conns
 }
 
-// state returns whether the link is open, its delay and a channel that is closed at the next change.
-func (n *Network) state(l link) (open bool, delay time.Duration, changed <-chan struct{}) {
+// linkState returns whether the link is open, its delay and a channel that is closed at the next cut or
+// heal of any link.
+func (n *Network) linkState(l link) (open bool, delay time.Duration, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	d, ok := n.delays[l]
+	d, ok := n.linkDelays[l]
 	if !ok {
-		d = n.delay
+		d = n.defaultDelay
 	}
 	return !n.cut[l], d, n.changed
 }
 
-// Listen opens a listener. The address is HOST:PORT with any port.
+// Listen opens a listener on HOST:PORT. The host needs no set-up. It fails with EADDRINUSE if the address
+// has a listener.
 func (n *Network) Listen(addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if _, ok := n.listeners[addr]; ok {
 		return nil, &net.OpError{Op: "listen", Net: "mem", Addr: address(addr), Err: syscall.EADDRINUSE}
 	}
-	lis := &listener{n: n, addr: addr, queue: make(chan *conn), closed: make(chan struct{})}
+	lis := &listener{n: n, addr: addr, incoming: make(chan *conn), closed: make(chan struct{})}
 	n.listeners[addr] = lis
 	return lis, nil
 }
@@ -159,12 +161,12 @@
 	return func(ctx context.Context, _, addr string) (net.Conn, error) { return n.Dial(ctx, from, addr) }
 }
 
-// Dial opens a connection from the host. While a link between the hosts is cut, it waits until ctx
-// ends.
+// Dial opens a connection from the host. While a link between the hosts is cut, it blocks, at most until
+// ctx ends. Without a listener on the address, it fails with ECONNREFUSED.
 func (n *Network) Dial(ctx context.Context, from, addr string) (net.Conn, error) {
 	out := link{from, hostOf(addr)}
 	back := link{out.to, out.from}
-	if err := n.cross(ctx, out); err != nil {
+	if err := n.awaitTransit(ctx, out); err != nil {
 		return nil, dialError(addr, err)
 	}
 	n.mu.Lock()
@@ -173,18 +175,18 @@
 	if !ok {
 		return nil, dialError(addr, syscall.ECONNREFUSED)
 	}
-	near, far := n.pair(out, address(addr))
+	near, far := n.newConnPair(out, address(addr))
 	select {
-	case lis.queue <- far:
+	case lis.incoming <- far:
 	case <-lis.closed:
-		near.abandon(far)
+		near.closeBoth(far)
 		return nil, dialError(addr, syscall.ECONNREFUSED)
 	case <-ctx.Done():
-		near.abandon(far)
+		near.closeBoth(far)
 		return nil, dialError(addr, ctx.Err())
 	}
-	if err := n.cross(ctx, back); err != nil {
-		near.abandon(far)
+	if err := n.awaitTransit(ctx, back); err != nil {
+		near.closeBoth(far)
 		return nil, dialError(addr, err)
 	}
 	return near, nil
@@ -194,10 +196,10 @@
 	return &net.OpError{Op: "dial", Net: "mem", Addr: address(addr), Err: err}
 }
 
-// cross waits as long as a packet takes on the link.
-func (n *Network) cross(ctx context.Context, l link) error {
+// awaitTransit waits for the delay of the link, and before that until the link is open.
+func (n *Network) awaitTransit(ctx context.Context, l link) error {
 	for {
-		open, delay, changed := n.state(l)
+		open, delay, changed := n.linkState(l)
 		var arrived <-chan time.Time
 		if open {
 			if delay == 0 {
@@ -220,17 +222,17 @@
 
 // listener implements net.Listener.
 type listener struct {
-	n      *Network
-	addr   string
-	queue  chan *conn
-	once   sync.Once
-	closed chan struct{}
+	n        *Network
+	addr     string
+	incoming chan *conn
+	once     sync.Once
+	closed   chan struct{}
 }
 
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.queue:
+	case c := <-l.incoming:
 		return c, nil
 	case <-l.closed:
 		return nil, fmt.Errorf("accept on %s: %w", l.addr, net.ErrClosed)
@@ -251,5 +253,5 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return address(l.addr) }
 
-// errTimeout is the error of a deadline that has passed.
+// errTimeout is returned by reads and writes after their deadline.
 var errTimeout = os.ErrDeadlineExceeded
