--- a/stand/dbsim/accept.go
+++ b/stand/dbsim/accept.go
@@ -9,12 +9,12 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// replicateParameter is the start-up parameter of a replica's connection. Its value is ignored.
+// replicateParameter is the start-up parameter that marks a replication connection. Its value is ignored.
 const replicateParameter = "snipewall.replicate"
 
-// accept performs the start-up of a connection and serves it to its end.
+// accept performs the start-up of a connection and serves it until it ends.
 func (s *Server) accept(l *link) error {
-	if err := l.SetDeadline(time.Now().Add(handshakeTime)); err != nil {
+	if err := l.SetDeadline(time.Now().Add(startupTimeout)); err != nil {
 		return err
 	}
 	var c net.Conn = l
@@ -48,16 +48,17 @@
 	}
 }
 
-// maxMessage limits a client's message, in bytes.
-const maxMessage = 64 << 20
+// maxMessageBytes limits the size of a client's message.
+const maxMessageBytes = 64 << 20
 
 func newBackend(c net.Conn) *pgproto3.Backend {
 	be := pgproto3.NewBackend(c, c)
-	be.SetMaxBodyLen(maxMessage)
+	be.SetMaxBodyLen(maxMessageBytes)
 	return be
 }
 
-// answerSSL starts TLS if the server is set up for it.
+// answerSSL answers an SSLRequest. If TLS is configured, it returns the server side of a TLS connection,
+// otherwise c itself.
 func (s *Server) answerSSL(c net.Conn) (net.Conn, error) {
 	if s.cfg.TLS == nil {
 		_, err := c.Write([]byte{'N'})
@@ -69,7 +70,7 @@
 	return tls.Server(c, s.cfg.TLS), nil
 }
 
-// start admits the connection and serves it.
+// start serves a connection after its StartupMessage, as a replication, control or caller connection.
 func (s *Server) start(l *link, c net.Conn, be *pgproto3.Backend, params map[string]string) error {
 	if _, ok := params[replicateParameter]; ok {
 		if err := l.admit(linkUpstream); err != nil {
@@ -80,14 +81,14 @@
 	if err := l.admit(linkCaller); err != nil {
 		return err
 	}
-	control := params["application_name"] == ControlName
-	count, limit := &s.callers, s.cfg.Connections
+	control := params["application_name"] == ControlApplicationName
+	count, limit := &s.callerConns, s.cfg.Connections
 	if control {
-		count, limit = &s.controls, s.cfg.Reserved
+		count, limit = &s.controlConns, s.cfg.Reserved
 	}
 	defer count.Add(-1)
 	if n := count.Add(1); limit > 0 && n > int64(limit) {
-		be.Send(errorResponse("FATAL", sqlErrorf(stateTooMany, "sorry, too many clients already")))
+		be.Send(errorResponse("FATAL", sqlErrorf(stateTooManyConnections, "sorry, too many clients already")))
 		return be.Flush()
 	}
 	if err := sleep(l.ctx, s.faults.scale(s.cfg.ConnectTime)); err != nil {
@@ -96,7 +97,7 @@
 	ss := newSession(s, l, be, control)
 	key := s.register(ss)
 	defer s.unregister(key)
-	if err := s.greet(be, params, key); err != nil {
+	if err := s.finishStartup(be, params, key); err != nil {
 		return err
 	}
 	if err := l.SetDeadline(time.Time{}); err != nil {
@@ -106,8 +107,8 @@
 	return ss.run()
 }
 
-// greet ends the start-up.
-func (s *Server) greet(be *pgproto3.Backend, params map[string]string, key sessionKey) error {
+// finishStartup sends the messages that end the start-up.
+func (s *Server) finishStartup(be *pgproto3.Backend, params map[string]string, key sessionKey) error {
 	be.Send(&pgproto3.AuthenticationOk{})
 	for _, p := range startParameters {
 		be.Send(&pgproto3.ParameterStatus{Name: p[0], Value: p[1]})
--- a/stand/dbsim/admin.go
+++ b/stand/dbsim/admin.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// AdminHandler serves the admin port, which faults don't affect: POST /fault?name=NAME&value=VALUE
-// switches a fault, GET /status returns Stats as JSON.
+// AdminHandler returns the HTTP handler of the admin port, which faults don't affect. POST
+// /fault?name=NAME&value=VALUE calls Fault, GET /status returns Stats as JSON.
 func (s *Server) AdminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /fault", func(w http.ResponseWriter, r *http.Request) {
--- a/stand/dbsim/ast.go
+++ b/stand/dbsim/ast.go
@@ -2,11 +2,11 @@
 
 // Statement is one parsed SQL statement.
 type Statement interface {
-	// Tag is the command tag without counts, for example "INSERT".
+	// Tag returns the command tag without row counts, for example "INSERT".
 	Tag() string
 }
 
-// ExprKind tells what an Expr stands for.
+// ExprKind is the kind of an expression.
 type ExprKind uint8
 
 // Kinds of expressions.
@@ -20,7 +20,7 @@
 	ExprCall
 )
 
-// Expr is an expression. Cast is TypeNull unless the text has a cast.
+// Expr is an expression. Kind determines which fields are used. Cast is TypeNull if there is no cast.
 type Expr struct {
 	Kind    ExprKind
 	Literal Value
@@ -42,7 +42,7 @@
 	Primary bool
 	NotNull bool
 	Default Value
-	// Serial columns number their rows from 1.
+	// Serial makes an INSERT without a value take the next number, from 1.
 	Serial bool
 }
 
--- a/stand/dbsim/cancel.go
+++ b/stand/dbsim/cancel.go
@@ -12,9 +12,9 @@
 	pid, secret uint32
 }
 
-// register makes a session known to cancel requests.
+// register adds a session to those that cancel requests can address.
 func (s *Server) register(ss *session) sessionKey {
-	key := sessionKey{pid: s.nextPID.Add(1), secret: rand.Uint32()}
+	key := sessionKey{pid: s.lastPID.Add(1), secret: rand.Uint32()}
 	s.sessions.Store(key, ss)
 	return key
 }
@@ -33,14 +33,14 @@
 	ss.(*session).running.cancel()
 }
 
-// running is the statement that a session runs.
-type running struct {
+// runningStatement allows the statement that a session runs to be canceled from another goroutine.
+type runningStatement struct {
 	mu   sync.Mutex
 	stop context.CancelFunc
 }
 
-// start returns the context of a statement.
-func (r *running) start(ctx context.Context) context.Context {
+// start returns the context for a new statement.
+func (r *runningStatement) start(ctx context.Context) context.Context {
 	ctx, stop := context.WithCancel(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,11 +48,11 @@
 	return ctx
 }
 
-// end frees the context of the statement.
-func (r *running) end() { r.cancel() }
+// end releases the context of the statement.
+func (r *runningStatement) end() { r.cancel() }
 
-// cancel ends the waits of the statement.
-func (r *running) cancel() {
+// cancel cancels the context of the statement, if one runs.
+func (r *runningStatement) cancel() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.stop != nil {
--- a/stand/dbsim/control.go
+++ b/stand/dbsim/control.go
@@ -4,7 +4,7 @@
 
 var faultFields = []Field{{"fault", TypeText}}
 
-// call runs a function of the schema snipewall. It needs no slot.
+// call runs a function of the schema snipewall. It doesn't occupy a slot.
 func (ss *session) call(s *Call, params []Value) (*Rows, error) {
 	if err := sleep(ss.ctx, ss.srv.faults.scale(ss.srv.cfg.ControlTime)); err != nil {
 		return nil, err
@@ -17,7 +17,7 @@
 		return nil, err
 	}
 	if l := ss.srv.faults.takeLoss(s.Func); l != lossNone {
-		ss.lost = l
+		ss.pendingLoss = l
 	}
 	return statusRows(status), nil
 }
@@ -49,7 +49,8 @@
 	return db.Follow(term, primary.Text)
 }
 
-// callFault switches a fault once the answer has left, so that the answer itself isn't affected.
+// callFault checks the arguments and sets the fault after the response has been sent, so that the fault
+// doesn't affect this response.
 func (ss *session) callFault(s *Call, params []Value) (*Rows, error) {
 	if len(s.Args) != 2 {
 		return nil, sqlErrorf(stateNoFunction, "snipewall.fault takes a name and a value")
--- a/stand/dbsim/database.go
+++ b/stand/dbsim/database.go
@@ -9,32 +9,32 @@
 )
 
 // Database is the durable state of one upstream: the log, the promised term and the role, and the
-// tables that the applied part of the log amounts to. It is safe for concurrent use.
+// tables that result from the applied entries of the log. It is safe for concurrent use.
 type Database struct {
 	mu sync.RWMutex
-	// tables is the state after the first applied entries of the log.
+	// tables is the state after the first entries of the log, as many as the field applied says.
 	tables map[string]*table
-	// schema grows with each change of a table definition.
+	// schema is incremented at each change of a table definition.
 	schema  uint64
 	log     []Entry
 	runs    []Run
 	applied int
-	// arrived holds the arrival times of the entries that are not applied yet.
-	arrived []time.Time
-	// promised is the highest term that was accepted.
+	// arrivalTimes holds the arrival time of each entry that a replica has not applied yet.
+	arrivalTimes []time.Time
+	// promised is the highest term that was accepted by Prepare or Follow.
 	promised core.Term
 	role     core.Role
-	// term is the term in which this upstream is primary, or follows.
+	// term is the term in which this upstream is primary or follows the primary.
 	term core.Term
-	// primary is the address that a replica follows, empty if it follows nobody.
+	// primary is the address of the primary that a replica follows, empty if it follows none.
 	primary string
-	// heard is when the primary was last heard from, zero if never.
-	heard   time.Time
-	leaving bool
-	// generation grows with each change of role, term or primary.
+	// lastHeard is when the last message of the primary arrived, zero if none has.
+	lastHeard time.Time
+	leaving   bool
+	// generation is incremented at each change of role, term or primary.
 	generation uint64
 	locks      map[lockKey]*Tx
-	// watchers are told about each change of the log, the role or the term.
+	// watchers receive a value at each change of the log, the role or the term.
 	watchers map[chan struct{}]struct{}
 }
 
@@ -55,7 +55,7 @@
 }
 
 // NewReplica returns an empty database that follows the primary at the address in the term. With an
-// empty address it follows nobody.
+// empty address it follows no primary.
 func NewReplica(term core.Term, primary string) *Database {
 	db := newDatabase()
 	db.promised = term
@@ -65,7 +65,8 @@
 	return db
 }
 
-// Status returns the place of the upstream in its group.
+// Status returns the upstream's role, promised term and positions in the log. Heard is -1 on a replica that
+// has not heard from its primary.
 func (db *Database) Status() core.UpstreamStatus {
 	db.mu.RLock()
 	defer db.mu.RUnlock()
@@ -76,21 +77,21 @@
 	s := core.UpstreamStatus{
 		Role:     db.role,
 		Promised: db.promised,
-		Log:      position(db.log, len(db.log)),
-		Applied:  position(db.log, db.applied),
+		Log:      positionAt(db.log, len(db.log)),
+		Applied:  positionAt(db.log, db.applied),
 		Leaving:  db.leaving,
 	}
 	switch {
 	case db.role == core.RolePrimary:
-	case db.heard.IsZero():
+	case db.lastHeard.IsZero():
 		s.Heard = -1
 	default:
-		s.Heard = time.Since(db.heard)
+		s.Heard = time.Since(db.lastHeard)
 	}
 	return s
 }
 
-// SetLeaving sets whether the status reports that the upstream is about to be taken away.
+// SetLeaving sets whether the status reports that the upstream is about to be removed.
 func (db *Database) SetLeaving(leaving bool) {
 	db.mu.Lock()
 	defer db.mu.Unlock()
@@ -108,12 +109,12 @@
 	db.promised = term
 	db.role = core.RoleReplica
 	db.primary = ""
-	db.changed()
+	db.bumpGeneration()
 	return db.status(), nil
 }
 
-// Promote makes the upstream primary of its promised term and appends an empty entry. Repeating it
-// changes nothing.
+// Promote makes the upstream primary of its promised term and appends an empty entry. It is
+// idempotent.
 func (db *Database) Promote(term core.Term) (core.UpstreamStatus, error) {
 	db.mu.Lock()
 	defer db.mu.Unlock()
@@ -137,11 +138,11 @@
 	db.primary = ""
 	db.append(Entry{Term: term})
 	db.applyUpTo(len(db.log))
-	db.changed()
+	db.bumpGeneration()
 }
 
-// Follow makes the upstream a replica of the primary at the address. A diverging log tail is
-// dropped as soon as the primary has told its log.
+// Follow makes the upstream a replica of the primary at the address. Entries that the primary doesn't
+// have are truncated once the replica is connected to it. It is idempotent.
 func (db *Database) Follow(term core.Term, primary string) (core.UpstreamStatus, error) {
 	db.mu.Lock()
 	defer db.mu.Unlock()
@@ -158,13 +159,14 @@
 	db.role = core.RoleReplica
 	db.term = term
 	db.primary = primary
-	db.heard = time.Time{}
-	db.changed()
+	db.lastHeard = time.Time{}
+	db.bumpGeneration()
 	return db.status(), nil
 }
 
-// changed tells the watchers about a change of role, term or primary.
-func (db *Database) changed() {
+// bumpGeneration invalidates the current stream and notifies the watchers, after a change of role, term or
+// primary.
+func (db *Database) bumpGeneration() {
 	db.generation++
 	db.notify()
 }
@@ -178,7 +180,7 @@
 	}
 }
 
-// watch returns a channel that receives a value after each change, and a function that ends it.
+// watch returns a channel that receives a value after each change, and a function that unsubscribes it.
 func (db *Database) watch() (<-chan struct{}, func()) {
 	w := make(chan struct{}, 1)
 	db.mu.Lock()
@@ -202,16 +204,16 @@
 	db.runs = append(db.runs, Run{Term: e.Term, Last: last})
 }
 
-// applyUpTo applies entries until n are applied.
+// applyUpTo applies entries until the first n of the log are applied.
 func (db *Database) applyUpTo(n int) {
 	for db.applied < n {
 		db.apply(db.log[db.applied].Changes)
 		db.applied++
 	}
-	db.arrived = db.arrived[min(len(db.arrived), max(0, len(db.arrived)-(len(db.log)-db.applied))):]
+	db.arrivalTimes = db.arrivalTimes[min(len(db.arrivalTimes), max(0, len(db.arrivalTimes)-(len(db.log)-db.applied))):]
 }
 
-// truncate drops the entries after n and undoes those that were applied.
+// truncate drops the entries after the first n. It reverts those that were applied.
 func (db *Database) truncate(n int) {
 	for db.applied > n {
 		db.applied--
@@ -220,7 +222,7 @@
 	clear(db.log[n:])
 	db.log = db.log[:n]
 	db.runs = runsOf(db.log)
-	db.arrived = db.arrived[:len(db.log)-db.applied]
+	db.arrivalTimes = db.arrivalTimes[:len(db.log)-db.applied]
 }
 
 // Log returns a copy of the log.
@@ -232,24 +234,24 @@
 
 // commitChanges appends the changes of a transaction and makes them visible.
 func (db *Database) commitChanges(changes []Change) (core.Position, error) {
-	if err := db.writable(); err != nil {
+	if err := db.checkWritable(); err != nil {
 		return core.Position{}, err
 	}
 	db.append(Entry{Term: db.term, Changes: changes})
 	db.applyUpTo(len(db.log))
 	db.notify()
-	return position(db.log, len(db.log)), nil
+	return positionAt(db.log, len(db.log)), nil
 }
 
-// writable returns an error unless the upstream is the primary of its promised term.
-func (db *Database) writable() error {
+// checkWritable returns a read-only error unless the upstream is the primary of its promised term.
+func (db *Database) checkWritable() error {
 	if db.role != core.RolePrimary || db.term != db.promised {
 		return sqlErrorf(stateReadOnly, "cannot write on a replica")
 	}
 	return nil
 }
 
-// stream is a replica's place in following a primary. It is valid until the replica's role, term or
+// stream identifies a replication stream from a primary. It is valid until the replica's role, term or
 // primary changes.
 type stream struct {
 	generation uint64
@@ -257,33 +259,36 @@
 	primary    string
 }
 
-// following returns what the replica should follow, or false.
-func (db *Database) following() (stream, bool) {
+// streamToFollow returns the stream that the replica should follow. It returns false for a primary, and
+// for a replica that follows no primary.
+func (db *Database) streamToFollow() (stream, bool) {
 	db.mu.RLock()
 	defer db.mu.RUnlock()
 	s := stream{generation: db.generation, term: db.term, primary: db.primary}
 	return s, db.role == core.RoleReplica && db.primary != ""
 }
 
-// current reports whether the stream is still what the replica should follow.
-func (db *Database) current(s stream) bool {
+// isCurrent reports whether the stream is still valid.
+func (db *Database) isCurrent(s stream) bool {
 	db.mu.RLock()
 	defer db.mu.RUnlock()
 	return db.generation == s.generation
 }
 
-// hear records that the primary was heard from.
-func (db *Database) hear(s stream) bool {
+// recordHeard records that a message of the primary arrived now. It returns false if the stream is no
+// longer valid.
+func (db *Database) recordHeard(s stream) bool {
 	db.mu.Lock()
 	defer db.mu.Unlock()
 	if db.generation != s.generation {
 		return false
 	}
-	db.heard = time.Now()
+	db.lastHeard = time.Now()
 	return true
 }
 
-// startStream drops the part of the log that the primary doesn't have.
+// startStream truncates the log to the offset common, up to which it equals the primary's. It returns false
+// if the stream is no longer valid or the offset is beyond the log.
 func (db *Database) startStream(s stream, common core.Offset) bool {
 	db.mu.Lock()
 	defer db.mu.Unlock()
@@ -294,7 +299,8 @@
 	return true
 }
 
-// appendStream adds entries of the primary that arrived now.
+// appendStream appends entries that arrived from the primary now. It returns false if the stream is no
+// longer valid or first isn't the next offset.
 func (db *Database) appendStream(s stream, first core.Offset, entries []Entry) bool {
 	db.mu.Lock()
 	defer db.mu.Unlock()
@@ -304,32 +310,32 @@
 	now := time.Now()
 	for _, e := range entries {
 		db.append(e)
-		db.arrived = append(db.arrived, now)
+		db.arrivalTimes = append(db.arrivalTimes, now)
 	}
 	db.notify()
 	return true
 }
 
-// applyDue applies the entries that arrived at least lag ago. It returns how long to wait for the
-// next one, or false if none is waiting.
+// applyDue applies the entries that arrived at least lag ago. It returns how long to wait until the next
+// one can be applied, or false if there is none.
 func (db *Database) applyDue(lag time.Duration) (time.Duration, bool) {
 	db.mu.Lock()
 	defer db.mu.Unlock()
 	due := 0
-	for due < len(db.arrived) && time.Since(db.arrived[due]) >= lag {
+	for due < len(db.arrivalTimes) && time.Since(db.arrivalTimes[due]) >= lag {
 		due++
 	}
 	if due > 0 {
 		db.applyUpTo(db.applied + due)
 	}
-	if len(db.arrived) == 0 {
+	if len(db.arrivalTimes) == 0 {
 		return 0, false
 	}
-	return lag - time.Since(db.arrived[0]), true
+	return lag - time.Since(db.arrivalTimes[0]), true
 }
 
-// entriesAfter returns the entries after the offset, at most limit, if this upstream is still
-// primary of the term.
+// entriesAfter returns at most limit entries after the offset. It returns false if this upstream is no
+// longer primary of the term.
 func (db *Database) entriesAfter(term core.Term, after core.Offset, limit int) ([]Entry, bool) {
 	db.mu.RLock()
 	defer db.mu.RUnlock()
--- a/stand/dbsim/dbsim_test.go
+++ b/stand/dbsim/dbsim_test.go
@@ -11,10 +11,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// testTime limits each scenario.
-const testTime = 20 * time.Second
+// testTimeout limits the duration of each test.
+const testTimeout = 20 * time.Second
 
-// start serves a database on loopback until the test ends.
+// start serves a database on a loopback address until the test ends.
 func start(t *testing.T, cfg Config, db *Database) (srv *Server, address string) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,12 +39,12 @@
 }
 
 func testContext(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), testTime)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// Guards against a simulator that real clients can't use with prepared statements.
+// Guards against a simulator that a PostgreSQL client library can't use with prepared statements.
 func TestClientSession(t *testing.T) {
 	ctx := testContext(t)
 	_, address := start(t, Config{Slots: 2}, NewPrimary(1))
@@ -75,7 +75,7 @@
 	assert.Equal(t, pgErr.Code, "23505")
 }
 
-// Guards against ways of sending a statement that the simulator doesn't understand.
+// Guards against query modes of a client library that the simulator doesn't support.
 func TestClientModes(t *testing.T) {
 	ctx := testContext(t)
 	_, address := start(t, Config{}, NewPrimary(1))
--- a/stand/dbsim/describe.go
+++ b/stand/dbsim/describe.go
@@ -1,7 +1,7 @@
 package dbsim
 
-// describe returns the types of the parameters and the output columns of a statement. Types that
-// the client declared win over inferred ones.
+// describe returns the types of the parameters and the output columns of a statement. Types that the
+// client declared take precedence over inferred ones.
 func (tx *Tx) describe(s Statement, declared []uint32) ([]Type, []Field, error) {
 	tx.db.mu.RLock()
 	defer tx.db.mu.RUnlock()
@@ -21,13 +21,13 @@
 	return d.types, fields, nil
 }
 
-// describer collects the types of parameters.
+// describer infers the types of parameters.
 type describer struct {
 	tx    *Tx
 	types []Type
 }
 
-// expect notes that an expression is used where the type is expected.
+// expect infers the types of the parameters in e from its use where type t is expected.
 func (d *describer) expect(e *Expr, t Type) {
 	if e == nil {
 		return
--- a/stand/dbsim/eval.go
+++ b/stand/dbsim/eval.go
@@ -4,16 +4,16 @@
 	"time"
 )
 
-// eval computes an expression. def and row are nil where columns can't be used.
+// eval evaluates an expression. def and row are nil where columns can't be used.
 func eval(e *Expr, params []Value, def *TableDef, row []Value) (Value, error) {
-	v, err := evalBare(e, params, def, row)
+	v, err := evalUncast(e, params, def, row)
 	if err != nil || e.Cast == TypeNull {
 		return v, err
 	}
 	return v.convert(e.Cast)
 }
 
-// evalFor computes an expression and converts it to the type of a column.
+// evalFor evaluates an expression and converts it to the type t.
 func evalFor(e *Expr, t Type, params []Value, def *TableDef, row []Value) (Value, error) {
 	v, err := eval(e, params, def, row)
 	if err != nil {
@@ -22,7 +22,7 @@
 	return v.convert(t)
 }
 
-func evalBare(e *Expr, params []Value, def *TableDef, row []Value) (Value, error) {
+func evalUncast(e *Expr, params []Value, def *TableDef, row []Value) (Value, error) {
 	switch e.Kind {
 	case ExprLiteral:
 		return e.Literal, nil
@@ -80,7 +80,7 @@
 func evalCall(e *Expr) (Value, error) {
 	switch e.Func {
 	case "pg_sleep":
-		// The session sleeps while it holds a slot, see sleepTime.
+		// The session sleeps for sleepTime before it evaluates the statement.
 		return Value{Type: TypeVoid}, nil
 	case "now":
 		return Text(time.Now().UTC().Format(time.RFC3339Nano)), nil
@@ -90,7 +90,7 @@
 	return Value{}, sqlErrorf(stateNoFunction, "function %s does not exist", e.Func)
 }
 
-// exprType returns the type of an expression without computing it.
+// exprType returns the type of an expression without evaluating it.
 func exprType(e *Expr, def *TableDef, paramTypes []Type) Type {
 	if e.Cast != TypeNull {
 		return e.Cast
@@ -121,7 +121,7 @@
 	return TypeText
 }
 
-// sleepTime returns the time that the pg_sleep calls of a statement ask for.
+// sleepTime returns the sum of the durations of a statement's pg_sleep calls.
 func sleepTime(s Statement, params []Value) (time.Duration, error) {
 	sel, ok := s.(*Select)
 	if !ok || sel.Table != "" {
@@ -144,14 +144,14 @@
 	return total, nil
 }
 
-// filter is a WHERE clause with its values computed.
+// filter is a WHERE clause with its values evaluated.
 type filter struct {
 	columns []int
 	ops     []string
 	values  []Value
-	// byKey tells that the clause fixes the primary key.
-	byKey bool
-	key   Value
+	// hasKey is whether the clause requires the primary key to equal key.
+	hasKey bool
+	key    Value
 }
 
 func newFilter(def *TableDef, where []Cond, params []Value) (*filter, error) {
@@ -168,7 +168,7 @@
 			}
 		}
 		if i == def.Key && c.Op == "=" {
-			f.byKey = true
+			f.hasKey = true
 			f.key = v
 		}
 		f.columns = append(f.columns, i)
@@ -178,7 +178,7 @@
 	return f, nil
 }
 
-// match reports whether the row meets all conditions. A comparison with NULL is not met.
+// match reports whether the row meets all conditions. A comparison with NULL is never met.
 func (f *filter) match(row []Value) bool {
 	for i, c := range f.columns {
 		if !compareOp(f.ops[i], row[c], f.values[i]) {
--- a/stand/dbsim/exec.go
+++ b/stand/dbsim/exec.go
@@ -13,20 +13,20 @@
 	Type Type
 }
 
-// Rows is the answer to a statement.
+// Rows is the result of a statement.
 type Rows struct {
 	// Fields is nil if the statement returns no rows.
 	Fields []Field
 	Rows   [][]Value
-	// Tag is the command tag with counts, for example "INSERT 0 1".
+	// Tag is the command tag with row counts, for example "INSERT 0 1".
 	Tag string
 }
 
-// Exec runs a statement of the SQL engine in the transaction. It waits for row locks until ctx
-// ends. beforeWait, if not nil, is called before such a wait.
+// Exec runs a statement of the SQL engine in the transaction. While another transaction holds a lock that
+// it needs, it blocks, at most until ctx ends. beforeWait, if not nil, is called before it blocks.
 func (tx *Tx) Exec(ctx context.Context, s Statement, params []Value, beforeWait func()) (*Rows, error) {
 	for {
-		res, err := tx.try(s, params)
+		res, err := tx.tryExec(s, params)
 		var conflict *lockConflict
 		if !errors.As(err, &conflict) {
 			return res, err
@@ -40,8 +40,9 @@
 	}
 }
 
-// try runs the statement once. It changes nothing if it returns an error.
-func (tx *Tx) try(s Statement, params []Value) (*Rows, error) {
+// tryExec runs the statement without blocking. It returns a *lockConflict if another transaction holds a
+// lock that it needs. On an error it has changed nothing.
+func (tx *Tx) tryExec(s Statement, params []Value) (*Rows, error) {
 	if !isWrite(s) {
 		tx.db.mu.RLock()
 		defer tx.db.mu.RUnlock()
@@ -55,7 +56,7 @@
 	if tx.readOnly {
 		return nil, sqlErrorf(stateReadOnly, "cannot execute %s in a read-only transaction", s.Tag())
 	}
-	if err := tx.db.writable(); err != nil {
+	if err := tx.db.checkWritable(); err != nil {
 		return nil, err
 	}
 	switch s := s.(type) {
@@ -92,7 +93,7 @@
 		}
 	}
 	delete(tx.tables, s.Table)
-	tx.overlay(def).fresh = true
+	tx.overlay(def).created = true
 	tx.changes = append(tx.changes, Change{Table: s.Table, Create: def})
 	return &Rows{Tag: s.Tag()}, nil
 }
@@ -115,8 +116,8 @@
 	return &Rows{Tag: s.Tag()}, nil
 }
 
-// newRow is a row about to be inserted.
-type newRow struct {
+// keyedRow is a row with its key: the primary key or, in a table without one, the row's number.
+type keyedRow struct {
 	key    Value
 	values []Value
 }
@@ -154,7 +155,7 @@
 	return out.rows("INSERT 0 " + strconv.Itoa(len(kept))), nil
 }
 
-func (tx *Tx) dropDuplicates(def *TableDef, s *Insert, rows []newRow) ([]newRow, error) {
+func (tx *Tx) dropDuplicates(def *TableDef, s *Insert, rows []keyedRow) ([]keyedRow, error) {
 	kept := rows[:0]
 	seen := make(map[Value]bool, len(rows))
 	for _, r := range rows {
@@ -170,13 +171,13 @@
 	return kept, nil
 }
 
-// buildRows evaluates the values of an INSERT and assigns keys.
-func (tx *Tx) buildRows(def *TableDef, s *Insert, params []Value) ([]newRow, error) {
+// buildRows evaluates the values of an INSERT, fills in defaults and assigns keys.
+func (tx *Tx) buildRows(def *TableDef, s *Insert, params []Value) ([]keyedRow, error) {
 	columns, err := insertColumns(def, s)
 	if err != nil {
 		return nil, err
 	}
-	rows := make([]newRow, 0, len(s.Rows))
+	rows := make([]keyedRow, 0, len(s.Rows))
 	for _, exprs := range s.Rows {
 		if len(exprs) != len(columns) {
 			return nil, sqlErrorf(stateSyntax, "INSERT has %d expressions for %d columns", len(exprs), len(columns))
@@ -190,7 +191,7 @@
 				return nil, err
 			}
 		}
-		r, err := tx.keyed(def, values)
+		r, err := tx.assignKey(def, values)
 		if err != nil {
 			return nil, err
 		}
@@ -199,7 +200,7 @@
 	return rows, nil
 }
 
-// insertColumns returns the indexes of the columns that an INSERT names.
+// insertColumns returns the indexes of the columns that an INSERT sets: all if it names none.
 func insertColumns(def *TableDef, s *Insert) ([]int, error) {
 	var columns []int
 	for _, name := range s.Columns {
@@ -217,32 +218,32 @@
 	return columns, nil
 }
 
-// keyed numbers serial columns, checks NOT NULL and finds the key of a row.
-func (tx *Tx) keyed(def *TableDef, values []Value) (newRow, error) {
+// assignKey numbers serial columns, checks NOT NULL constraints and determines the key of a row.
+func (tx *Tx) assignKey(def *TableDef, values []Value) (keyedRow, error) {
 	for i, c := range def.Columns {
 		if c.Serial && values[i].IsNull() {
 			values[i] = Int(tx.nextKey(def))
 		}
 		if values[i].IsNull() && (c.NotNull || c.Primary) {
-			return newRow{}, sqlErrorf(stateNotNull, "null value in column %q violates not-null constraint", c.Name)
+			return keyedRow{}, sqlErrorf(stateNotNull, "null value in column %q violates not-null constraint", c.Name)
 		}
 	}
 	if def.Key >= 0 {
-		return newRow{key: values[def.Key], values: values}, nil
+		return keyedRow{key: values[def.Key], values: values}, nil
 	}
-	return newRow{key: Int(tx.nextKey(def)), values: values}, nil
+	return keyedRow{key: Int(tx.nextKey(def)), values: values}, nil
 }
 
-// nextKey numbers rows. Like a sequence, it isn't rolled back.
+// nextKey returns the next number for a row. Like a PostgreSQL sequence, it isn't rolled back.
 func (tx *Tx) nextKey(def *TableDef) int64 {
 	t, ok := tx.db.tables[def.Name]
 	if ok {
-		t.nextKey++
-		return t.nextKey
+		t.lastKey++
+		return t.lastKey
 	}
 	o := tx.overlay(def)
-	o.nextKey++
-	return o.nextKey
+	o.lastKey++
+	return o.lastKey
 }
 
 func (tx *Tx) update(s *Update, params []Value) (*Rows, error) {
@@ -264,7 +265,7 @@
 			return nil, err
 		}
 	}
-	if err := tx.claimMoved(def, found, changed); err != nil {
+	if err := tx.lockNewKeys(def, found, changed); err != nil {
 		return nil, err
 	}
 	for i, r := range found {
@@ -276,8 +277,9 @@
 	return out.rows("UPDATE " + strconv.Itoa(len(found))), nil
 }
 
-// claimMoved locks the new keys of rows whose primary key changes and checks that they are free.
-func (tx *Tx) claimMoved(def *TableDef, found []newRow, changed [][]Value) error {
+// lockNewKeys locks the new keys of rows whose primary key changes. It returns an error if a row has one of
+// them already.
+func (tx *Tx) lockNewKeys(def *TableDef, found []keyedRow, changed [][]Value) error {
 	if def.Key < 0 {
 		return nil
 	}
@@ -300,7 +302,7 @@
 	return nil
 }
 
-// replace writes a changed row. A change of the key moves the row.
+// replace writes a changed row. If its primary key has changed, it also deletes the row of the old key.
 func (tx *Tx) replace(def *TableDef, key Value, values []Value) {
 	if def.Key < 0 || values[def.Key] == key {
 		tx.write(def, key, values)
@@ -310,7 +312,7 @@
 	tx.write(def, values[def.Key], values)
 }
 
-// assign returns the row after an UPDATE.
+// assign returns a copy of the row with the assignments of an UPDATE.
 func assign(def *TableDef, set []Assign, params []Value, old []Value) ([]Value, error) {
 	values := slices.Clone(old)
 	for _, a := range set {
@@ -350,9 +352,9 @@
 	return out.rows("DELETE " + strconv.Itoa(len(found))), nil
 }
 
-// lockMatching finds the rows of a WHERE clause and locks them.
-func (tx *Tx) lockMatching(def *TableDef, where []Cond, params []Value) ([]newRow, error) {
-	found, err := tx.matching(def, where, params)
+// lockMatching returns the rows that match a WHERE clause and locks them.
+func (tx *Tx) lockMatching(def *TableDef, where []Cond, params []Value) ([]keyedRow, error) {
+	found, err := tx.findRows(def, where, params)
 	if err != nil {
 		return nil, err
 	}
--- a/stand/dbsim/extended.go
+++ b/stand/dbsim/extended.go
@@ -4,7 +4,7 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// prepared is a prepared statement. stmt is nil for an empty text.
+// prepared is a prepared statement. stmt is nil if the SQL text is empty.
 type prepared struct {
 	stmt     Statement
 	declared []uint32
@@ -12,12 +12,12 @@
 	fields   []Field
 }
 
-// portal is a bound statement.
+// portal is a prepared statement with its parameter values bound.
 type portal struct {
 	prep    *prepared
 	values  []Value
 	formats []int16
-	// res is the answer once the statement has run, sent the number of rows passed on.
+	// res is the result after the statement has run. sent is the number of its rows sent so far.
 	res  *Rows
 	sent int
 }
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// infer determines the types of a statement.
+// infer sets the types of the parameters and the output columns of p.
 func (ss *session) infer(p *prepared) error {
 	if p.stmt == nil {
 		return nil
--- a/stand/dbsim/fault.go
+++ b/stand/dbsim/fault.go
@@ -9,26 +9,27 @@
 	"time"
 )
 
-// linkClass tells who is at the other end of a connection.
+// linkClass classifies connections by their peer. Faults can affect one class only.
 type linkClass uint32
 
 const (
 	linkUnknown linkClass = iota
 	linkCaller
 	linkUpstream
-	linkClasses
+	linkClassCount
 )
 
-// direction is a direction of a connection as the upstream sees it.
+// direction is a direction of traffic, from the upstream's point of view.
 type direction uint32
 
 const (
 	inward direction = iota
 	outward
-	directions
+	directionCount
 )
 
-// loss says what happens to an answer that is to be lost: the connection is closed, or goes silent.
+// loss is what happens instead of sending a response that a fault drops: the connection is closed or goes
+// silent.
 type loss uint8
 
 const (
@@ -37,68 +38,69 @@
 	lossSilent
 )
 
-// faults holds the faults in force. It is safe for concurrent use.
+// faults holds the faults that are on. It is safe for concurrent use.
 type faults struct {
-	// active is set while any fault may be in force, to keep the common path cheap.
+	// active is set by the first fault, so that a server without faults needs no lock to check for them.
 	active atomic.Bool
 	mu     sync.Mutex
 	// changed is closed and replaced at each change.
 	changed chan struct{}
-	cut     [linkClasses][directions]bool
+	cut     [linkClassCount][directionCount]bool
 	frozen  bool
-	late    time.Duration
+	lateBy  time.Duration
 	slow    float64
-	lose    map[string]loss
-	// silenced counts the switches to silence per class; a link that is older than the last one of
-	// its class is silent.
-	silenced [linkClasses]uint64
-	// shipLag and applyLag are the replication lags.
+	losses  map[string]loss
+	// silenced counts how often FaultSilent was set for each class. A link that was opened before the
+	// last time is silent.
+	silenced [linkClassCount]uint64
+	// shipLag and applyLag are the values of FaultShipLag and FaultApplyLag, initially those of Config.
 	shipLag  time.Duration
 	applyLag time.Duration
-	// sets counts the changes per name, so that a timed end doesn't undo a later change.
-	sets map[string]int
+	// revisions counts the changes of each fault, so that the end of a timed fault doesn't undo a later
+	// change.
+	revisions map[string]int
 }
 
 func newFaults(shipLag, applyLag time.Duration) *faults {
 	return &faults{
-		changed:  make(chan struct{}),
-		slow:     1,
-		lose:     make(map[string]loss),
-		sets:     make(map[string]int),
-		shipLag:  shipLag,
-		applyLag: applyLag,
+		changed:   make(chan struct{}),
+		slow:      1,
+		losses:    make(map[string]loss),
+		revisions: make(map[string]int),
+		shipLag:   shipLag,
+		applyLag:  applyLag,
 	}
 }
 
-// Names of faults.
+// Names of the faults, as Server.Fault takes them.
 const (
-	// FaultCut holds back traffic. Its value is callers, upstreams or both, with an optional :in or
-	// :out for one direction, or off. What was held back arrives when the cut ends.
+	// FaultCut holds back traffic. Its value is callers, upstreams or both, with an optional :in or :out
+	// for one direction, or off. Traffic that was held back is delivered when the fault ends.
 	FaultCut = "cut"
-	// FaultFreeze stops the upstream like a paused process.
+	// FaultFreeze makes the upstream behave like a suspended process.
 	FaultFreeze = "freeze"
-	// FaultLateAnswer delays each answer by the duration.
+	// FaultLateAnswer delays each response to a caller by the duration.
 	FaultLateAnswer = "late"
-	// FaultSilent makes the open connections of callers, upstreams or both go silent for good. New
-	// connections work.
+	// FaultSilent makes the open connections of callers, upstreams or both drop all traffic permanently,
+	// without being closed. New connections are not affected.
 	FaultSilent = "silent"
-	// FaultSlow multiplies service times and delays by the factor.
+	// FaultSlow multiplies connect, service and control times and the network delay by the factor.
 	FaultSlow = "slow"
-	// FaultLoseAnswer loses the next answer to prepare, promote, follow, status or commit, after it took
-	// effect. The connection is closed, or goes silent with the suffix :silent.
+	// FaultLoseAnswer drops the response to the next prepare, promote, follow, status or commit, after it
+	// took effect. The connection is closed or, with the suffix :silent, goes silent.
 	FaultLoseAnswer = "lose"
-	// FaultLeaving makes the status report that the upstream is leaving.
+	// FaultLeaving makes the status report that the upstream is about to be removed.
 	FaultLeaving = "leaving"
-	// FaultShipLag delays entries on their way into the replica's log.
+	// FaultShipLag delays entries from the primary before they enter the replica's log.
 	FaultShipLag = "ship-lag"
-	// FaultApplyLag delays the visibility of entries that are in the replica's log.
+	// FaultApplyLag delays entries in the replica's log before reads see them.
 	FaultApplyLag = "apply-lag"
 )
 
-// Fault switches a fault on or off. A value may end in @DURATION, after which the fault is switched
-// off: "on@800ms".
+// Fault sets a fault to the value; off switches it off. A value may end in @DURATION, after which the
+// fault is switched off: "on@800ms". It returns an error if the name or the value is invalid.
 func (s *Server) Fault(name, value string) error {
-	value, d, err := splitSpan(value)
+	value, d, err := splitDuration(value)
 	if err != nil {
 		return err
 	}
@@ -112,17 +114,17 @@
 	return nil
 }
 
-// CheckFault returns an error if Fault would not accept the name and value.
+// CheckFault returns the error that Fault would return, and changes nothing.
 func CheckFault(name, value string) error {
-	value, _, err := splitSpan(value)
+	value, _, err := splitDuration(value)
 	if err != nil || name == FaultLeaving {
 		return err
 	}
 	return newFaults(0, 0).set(name, value)
 }
 
-// splitSpan splits a value off the duration after which the fault ends, 0 if there is none.
-func splitSpan(s string) (value string, d time.Duration, err error) {
+// splitDuration splits VALUE@DURATION. The duration is 0 if there is none.
+func splitDuration(s string) (value string, d time.Duration, err error) {
 	value, span, timed := strings.Cut(s, "@")
 	if !timed {
 		return value, 0, nil
@@ -133,10 +135,10 @@
 	return value, d, nil
 }
 
-// endFault switches the fault off unless it was set again.
-func (s *Server) endFault(name string, n int) {
+// endFault switches the fault off unless it was set again since the revision.
+func (s *Server) endFault(name string, revision int) {
 	s.faults.mu.Lock()
-	stale := s.faults.sets[name] != n
+	stale := s.faults.revisions[name] != revision
 	s.faults.mu.Unlock()
 	if stale {
 		return
@@ -157,11 +159,11 @@
 	if err != nil {
 		return 0, err
 	}
-	f.sets[name]++
+	f.revisions[name]++
 	f.active.Store(true)
 	close(f.changed)
 	f.changed = make(chan struct{})
-	return f.sets[name], nil
+	return f.revisions[name], nil
 }
 
 // set changes one fault. The caller holds the mutex.
@@ -173,13 +175,13 @@
 	case FaultFreeze:
 		f.frozen = value != "off"
 	case FaultLateAnswer:
-		f.late, err = parseLag(value)
+		f.lateBy, err = parseDelay(value)
 	case FaultSlow:
 		f.slow, err = parseFactor(value)
 	case FaultShipLag:
-		f.shipLag, err = parseLag(value)
+		f.shipLag, err = parseDelay(value)
 	case FaultApplyLag:
-		f.applyLag, err = parseLag(value)
+		f.applyLag, err = parseDelay(value)
 	case FaultSilent:
 		return f.setSilent(value)
 	case FaultLoseAnswer:
@@ -190,7 +192,7 @@
 	return err
 }
 
-func parseLag(value string) (time.Duration, error) {
+func parseDelay(value string) (time.Duration, error) {
 	if value == "off" {
 		return 0, nil
 	}
@@ -226,7 +228,7 @@
 
 func (f *faults) setCut(value string) error {
 	if value == "off" {
-		f.cut = [linkClasses][directions]bool{}
+		f.cut = [linkClassCount][directionCount]bool{}
 		return nil
 	}
 	name, way, oneWay := strings.Cut(value, ":")
@@ -260,7 +262,7 @@
 
 func (f *faults) setLose(value string) error {
 	if value == "off" {
-		clear(f.lose)
+		clear(f.losses)
 		return nil
 	}
 	name, how, _ := strings.Cut(value, ":")
@@ -269,22 +271,23 @@
 	default:
 		return sqlErrorf(stateBadParameter, "answers to %q can't be lost", name)
 	}
-	f.lose[name] = lossClose
+	f.losses[name] = lossClose
 	if how == "silent" {
-		f.lose[name] = lossSilent
+		f.losses[name] = lossSilent
 	}
 	return nil
 }
 
-// takeLoss returns whether the next answer to the operation is to be lost, once.
+// takeLoss returns whether and how to drop the response to this operation, and clears it, so that only one
+// response is dropped.
 func (f *faults) takeLoss(name string) loss {
 	if !f.active.Load() {
 		return lossNone
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := f.lose[name]
-	delete(f.lose, name)
+	l := f.losses[name]
+	delete(f.losses, name)
 	return l
 }
 
@@ -295,7 +298,7 @@
 	return f.shipLag, f.applyLag
 }
 
-// scale multiplies a duration by the slow factor.
+// scale multiplies a duration by the factor of FaultSlow.
 func (f *faults) scale(d time.Duration) time.Duration {
 	if d == 0 || !f.active.Load() {
 		return d
@@ -305,16 +308,16 @@
 	return time.Duration(float64(d) * f.slow)
 }
 
-func (f *faults) lateness() time.Duration {
+func (f *faults) answerDelay() time.Duration {
 	if !f.active.Load() {
 		return 0
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.late
+	return f.lateBy
 }
 
-// silencedCount returns how often links of the class were silenced.
+// silencedCount returns how often FaultSilent was set for the class.
 func (f *faults) silencedCount(c linkClass) uint64 {
 	if !f.active.Load() {
 		return 0
@@ -324,21 +327,22 @@
 	return f.silenced[c]
 }
 
-// await waits while traffic of the class in the direction is held back, until ctx ends.
+// await blocks while traffic of the class in the direction is held back, at most until ctx ends.
 func (f *faults) await(ctx context.Context, c linkClass, d direction) error {
 	return f.awaitWhile(ctx, func() bool { return f.frozen || f.cut[c][d] })
 }
 
-// awaitThaw waits while the upstream is frozen.
+// awaitThaw blocks while the upstream is frozen, at most until ctx ends.
 func (f *faults) awaitThaw(ctx context.Context) error {
 	return f.awaitWhile(ctx, func() bool { return f.frozen })
 }
 
-func (f *faults) awaitWhile(ctx context.Context, held func() bool) error {
+// awaitWhile blocks while isHeld, which is called with the mutex held, returns true.
+func (f *faults) awaitWhile(ctx context.Context, isHeld func() bool) error {
 	for f.active.Load() {
 		f.mu.Lock()
 		changed := f.changed
-		wait := held()
+		wait := isHeld()
 		f.mu.Unlock()
 		if !wait {
 			return nil
@@ -367,8 +371,8 @@
 	}
 }
 
-// change returns a channel that is closed at the next change of a fault.
-func (f *faults) change() <-chan struct{} {
+// nextChange returns a channel that is closed when a fault is set or ends.
+func (f *faults) nextChange() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
--- a/stand/dbsim/fuzz_test.go
+++ b/stand/dbsim/fuzz_test.go
@@ -11,7 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against clients that make a session panic or that keep it after they are gone.
+// Guards against client messages that make a session panic, or that keep it open after the client has
+// closed the connection.
 func FuzzSession(f *testing.F) {
 	var seed []byte
 	for _, msg := range []pgproto3.FrontendMessage{
@@ -40,14 +41,14 @@
 		assert.NilError(t, near.Close())
 		select {
 		case <-done:
-		case <-time.After(testTime):
-			t.Fatal("the session goes on")
+		case <-time.After(testTimeout):
+			t.Fatal("the session still runs after the client closed the connection")
 		}
 		assert.Equal(t, srv.Stats().Connections, 0)
 	})
 }
 
-// Guards against fault values that panic, or that CheckFault accepts and Fault refuses.
+// Guards against fault names and values that panic, or for which CheckFault and Fault disagree.
 func FuzzFault(f *testing.F) {
 	f.Add(FaultCut, "callers:in@1ms")
 	f.Add(FaultSlow, "2.5")
--- a/stand/dbsim/group_test.go
+++ b/stand/dbsim/group_test.go
@@ -14,19 +14,20 @@
 	"snipewall/stand/memnet"
 )
 
-// group is a group of upstreams on a network in memory.
+// group is a group of upstreams on an in-memory network.
 type group struct {
 	t       *testing.T
 	ctx     context.Context
 	net     *memnet.Network
 	servers map[string]*Server
 	cfg     Config
-	// stops ends the server of a host and waits for it.
+	// stops holds a function per host that stops its server and waits until it has ended.
 	stops map[string]func()
 }
 
-// inGroup runs a scenario on the fake clock, with the first host as the primary of term 1.
-func inGroup(t *testing.T, cfg Config, hosts []string, scenario func(g *group)) {
+// withGroup runs a scenario on the fake clock, with the first host as the primary of term 1 and the others
+// as its replicas.
+func withGroup(t *testing.T, cfg Config, hosts []string, scenario func(g *group)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -39,7 +40,8 @@
 			}
 			g.start(host, db)
 		}
-		// Deferred, so that a failed assertion isn't hidden by a deadlock of the fake clock.
+		// Deferred, so that the servers also stop after a failed assertion. Otherwise synctest would report a
+		// deadlock instead of the assertion.
 		defer func() {
 			for _, stop := range g.stops {
 				stop()
@@ -66,7 +68,7 @@
 	go func() { end <- srv.Serve(ctx, lis) }()
 }
 
-// restart crashes the host's process and starts another one over the same database.
+// restart simulates a crash of the host and starts a server with the same database.
 func (g *group) restart(host string) {
 	g.stops[host]()
 	g.net.Crash(host)
@@ -105,7 +107,7 @@
 	return nil
 }
 
-// ids returns the ids that the host's reads see.
+// ids returns the ids of the rows that reads on the host see.
 func (g *group) ids(host string) []int64 {
 	stmts, err := Parse("SELECT id FROM t ORDER BY id")
 	assert.NilError(g.t, err)
@@ -118,10 +120,10 @@
 	return ids
 }
 
-// Guards against an isolated old primary whose unconfirmed tail survives, or that commits after the
-// group has moved on.
+// Guards against an isolated old primary that keeps log entries which no replica had received, or that
+// accepts writes after it has been told to follow the new primary.
 func TestIsolatedPrimaryDropsTail(t *testing.T) {
-	inGroup(t, Config{}, []string{"a", "b", "c"}, func(g *group) {
+	withGroup(t, Config{}, []string{"a", "b", "c"}, func(g *group) {
 		assert.NilError(t, g.exec("a", "CREATE TABLE t (id int8 PRIMARY KEY, n int8)", "INSERT INTO t VALUES (1, 0)"))
 		time.Sleep(time.Second)
 		assert.DeepEqual(t, g.ids("c"), []int64{1})
@@ -153,8 +155,8 @@
 	})
 }
 
-// Guards against two drivers that both hold a majority at one term, and against promotions and
-// follows of superseded terms.
+// Guards against two failover drivers that both prepare a majority in the same term, and against
+// promote and follow calls of superseded terms.
 func TestTerms(t *testing.T) {
 	type call func(db *Database) (core.UpstreamStatus, error)
 	prepare := func(term core.Term) call {
@@ -200,7 +202,8 @@
 	}
 }
 
-// Guards against a prepared primary that commits a transaction that was open before.
+// Guards against a primary that commits a transaction after it has prepared a higher term, if the
+// transaction was open before.
 func TestPreparedPrimaryRefusesCommit(t *testing.T) {
 	db := NewPrimary(1)
 	tx := db.Begin(false)
@@ -215,7 +218,7 @@
 	assert.Equal(t, db.Status().Log, core.Position{Term: 1, Offset: 1})
 }
 
-// Guards against lags that don't delay, or that stop replication.
+// Guards against replication lags that delay nothing, or that stop replication.
 func TestReplicationLag(t *testing.T) {
 	tests := []struct {
 		name         string
@@ -228,7 +231,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			inGroup(t, tt.cfg, []string{"a", "b"}, func(g *group) {
+			withGroup(t, tt.cfg, []string{"a", "b"}, func(g *group) {
 				time.Sleep(time.Second)
 				assert.NilError(t, g.exec("a", "CREATE TABLE t (id int8)"))
 				time.Sleep(100 * time.Millisecond)
@@ -242,9 +245,9 @@
 	}
 }
 
-// Guards against a replica that claims to hear from a primary that is frozen, cut off or gone, which
-// would keep failover from starting.
-func TestHeard(t *testing.T) {
+// Guards against a replica that reports recent contact with a primary that is frozen, cut off or crashed,
+// which would prevent a failover.
+func TestPrimaryLastHeard(t *testing.T) {
 	tests := []struct {
 		name  string
 		fault func(g *group) error
@@ -257,7 +260,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			inGroup(t, Config{}, []string{"a", "b"}, func(g *group) {
+			withGroup(t, Config{}, []string{"a", "b"}, func(g *group) {
 				assert.Assert(t, g.db("b").Status().Heard < 100*time.Millisecond)
 				assert.NilError(t, tt.fault(g))
 				time.Sleep(3 * time.Second)
@@ -275,9 +278,9 @@
 	}
 }
 
-// Guards against a replica whose replication connection went silent and never recovers.
+// Guards against a replica that never reconnects after its replication connection has gone silent.
 func TestSilentReplication(t *testing.T) {
-	inGroup(t, Config{}, []string{"a", "b"}, func(g *group) {
+	withGroup(t, Config{}, []string{"a", "b"}, func(g *group) {
 		assert.NilError(t, g.servers["a"].Fault(FaultSilent, "upstreams"))
 		assert.NilError(t, g.exec("a", "CREATE TABLE t (id int8)"))
 		time.Sleep(3 * time.Second)
--- a/stand/dbsim/lex.go
+++ b/stand/dbsim/lex.go
@@ -2,7 +2,6 @@
 
 import "strings"
 
-// tokenKind classifies a token of SQL text.
 type tokenKind uint8
 
 const (
@@ -14,7 +13,8 @@
 	tokenSymbol
 )
 
-// token is one token. The text of an identifier is in lower case unless it was quoted.
+// token is a token of SQL text. The text of an identifier is in lower case unless it was quoted. The text
+// of a parameter is its number.
 type token struct {
 	kind tokenKind
 	text string
@@ -26,7 +26,7 @@
 	pos int
 }
 
-// next returns the next token, tokenEnd at the end of the text.
+// next returns the next token. At the end of the text its kind is tokenEnd.
 func (l *lexer) next() (token, error) {
 	if err := l.skipSpace(); err != nil {
 		return token{}, err
@@ -37,12 +37,12 @@
 	c := l.src[l.pos]
 	switch {
 	case isIdentStart(c):
-		return token{tokenIdent, strings.ToLower(l.take(isIdentPart))}, nil
+		return token{tokenIdent, strings.ToLower(l.takeWhile(isIdentPart))}, nil
 	case isDigit(c):
-		return token{tokenNumber, l.take(isNumberPart)}, nil
+		return token{tokenNumber, l.takeWhile(isNumberPart)}, nil
 	case c == '$':
 		l.pos++
-		return token{tokenParam, l.take(isDigit)}, nil
+		return token{tokenParam, l.takeWhile(isDigit)}, nil
 	case c == '\'':
 		s, err := l.quoted('\'')
 		return token{tokenString, s}, err
@@ -53,7 +53,7 @@
 	return token{tokenSymbol, l.symbol()}, nil
 }
 
-// symbol takes an operator or a single character.
+// symbol consumes an operator or a single character.
 func (l *lexer) symbol() string {
 	for _, op := range [...]string{"<=", ">=", "<>", "!=", "::"} {
 		if strings.HasPrefix(l.src[l.pos:], op) {
@@ -65,8 +65,8 @@
 	return l.src[l.pos-1 : l.pos]
 }
 
-// take consumes the bytes that the predicate accepts.
-func (l *lexer) take(accept func(byte) bool) string {
+// takeWhile consumes bytes as long as accept returns true for them.
+func (l *lexer) takeWhile(accept func(byte) bool) string {
 	start := l.pos
 	for l.pos < len(l.src) && accept(l.src[l.pos]) {
 		l.pos++
@@ -74,7 +74,7 @@
 	return l.src[start:l.pos]
 }
 
-// quoted consumes text in quotes, in which a doubled quote stands for a quote.
+// quoted consumes quoted text, in which a doubled quote stands for one quote.
 func (l *lexer) quoted(quote byte) (string, error) {
 	l.pos++
 	start := l.pos
--- a/stand/dbsim/link.go
+++ b/stand/dbsim/link.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// link is a connection whose traffic is subject to the network delay and to faults.
+// link is a connection whose traffic is subject to the simulated network delay and to faults.
 type link struct {
 	net.Conn
 	srv    *Server
 	ctx    context.Context
 	cancel context.CancelFunc
 	class  atomic.Uint32
-	// silenced is the class's count of silencings when the link was opened or classified.
-	silenced atomic.Uint64
-	// mute makes this link silent.
-	mute atomic.Bool
+	// silencedAtStart is the silencedCount of the class when the link was opened or classified.
+	silencedAtStart atomic.Uint64
+	// muted makes this link alone silent, for FaultLoseAnswer.
+	muted atomic.Bool
 }
 
 func (s *Server) newLink(ctx context.Context, c net.Conn, class linkClass) *link {
@@ -27,38 +27,39 @@
 	return l
 }
 
-// classify tells who is at the other end.
+// classify sets the class.
 func (l *link) classify(class linkClass) {
 	l.class.Store(uint32(class))
-	l.silenced.Store(l.srv.faults.silencedCount(class))
+	l.silencedAtStart.Store(l.srv.faults.silencedCount(class))
 }
 
-// admit classifies the link at the end of its start-up, which is held back like later traffic.
+// admit classifies the link when the start-up has shown its class, and then blocks while incoming traffic
+// of the class is held back.
 func (l *link) admit(class linkClass) error {
 	l.classify(class)
 	return l.srv.faults.await(l.ctx, class, inward)
 }
 
-// silent reports whether the link went silent for good.
-func (l *link) silent() bool {
-	return l.mute.Load() || l.srv.faults.silencedCount(linkClass(l.class.Load())) != l.silenced.Load()
+// isSilent reports whether the link drops all traffic. That is permanent.
+func (l *link) isSilent() bool {
+	return l.muted.Load() || l.srv.faults.silencedCount(linkClass(l.class.Load())) != l.silencedAtStart.Load()
 }
 
-// Read returns what has arrived. Traffic on a silent link is dropped, but the other side's closing
-// is noticed, so that the connection doesn't count against the limit for ever.
+// Read implements net.Conn. On a silent link it drops all data, but still returns an error when the peer
+// closes the connection, so that the connection doesn't count against the limit forever.
 func (l *link) Read(p []byte) (int, error) {
 	for {
 		n, err := l.Conn.Read(p)
-		if l.silent() {
+		if l.isSilent() {
 			if err != nil {
 				return 0, err
 			}
 			continue
 		}
-		if gateErr := l.srv.faults.await(l.ctx, linkClass(l.class.Load()), inward); gateErr != nil {
-			return 0, gateErr
+		if awaitErr := l.srv.faults.await(l.ctx, linkClass(l.class.Load()), inward); awaitErr != nil {
+			return 0, awaitErr
 		}
-		if l.silent() {
+		if l.isSilent() {
 			if err != nil {
 				return 0, err
 			}
@@ -71,12 +72,12 @@
 	}
 }
 
-// Write sends or, on a silent link, drops the bytes.
+// Write implements net.Conn. On a silent link it drops the data and reports success.
 func (l *link) Write(p []byte) (int, error) {
 	if err := l.srv.faults.await(l.ctx, linkClass(l.class.Load()), outward); err != nil {
 		return 0, err
 	}
-	if l.silent() {
+	if l.isSilent() {
 		return len(p), nil
 	}
 	if err := l.delay(); err != nil {
@@ -85,7 +86,8 @@
 	return l.Conn.Write(p)
 }
 
-// delay waits for the network delay of one direction. Replication has its own lag instead.
+// delay sleeps for the network delay of one direction. Replication connections have the replication lags
+// instead.
 func (l *link) delay() error {
 	if l.srv.cfg.Delay == 0 || linkClass(l.class.Load()) == linkUpstream {
 		return nil
@@ -93,16 +95,16 @@
 	return sleep(l.ctx, l.srv.faults.scale(l.srv.cfg.Delay))
 }
 
-// Close ends waits on the link, too.
+// Close implements net.Conn. It also unblocks reads and writes that are held back or delayed.
 func (l *link) Close() error {
 	l.cancel()
 	return l.Conn.Close()
 }
 
-// closeAfter closes the link when ctx ends.
+// closeAfter closes the link when ctx ends. The function it returns cancels that.
 func (l *link) closeAfter(ctx context.Context) func() bool {
 	return context.AfterFunc(ctx, func() { _ = l.Close() })
 }
 
-// handshakeTime limits the start-up of a connection.
-const handshakeTime = 10 * time.Second
+// startupTimeout limits the start-up of a connection.
+const startupTimeout = 10 * time.Second
--- a/stand/dbsim/log.go
+++ b/stand/dbsim/log.go
@@ -2,7 +2,7 @@
 
 import "snipewall/core"
 
-// Change is one change of a committed transaction. Exactly one of Create, Drop and Key is used.
+// Change is a change of one row or of a table definition. Exactly one of Create, Drop and Key is used.
 type Change struct {
 	Table string
 	// Create defines a new table.
@@ -12,32 +12,32 @@
 	Key  Value
 	// Row is the row after the change, nil if it was deleted.
 	Row []Value
-	// before undoes the change on this upstream.
-	before undo
+	// undo is set when the change is applied on this upstream. It is not replicated.
+	undo undoRecord
 }
 
-// undo holds what a change replaced.
-type undo struct {
+// undoRecord holds the state that a change replaced.
+type undoRecord struct {
 	row   []Value
 	table *table
-	// skipped tells that the change had no effect.
+	// skipped is whether the change had no effect.
 	skipped bool
 }
 
-// Entry is one entry of the log: the changes of a transaction, or nothing at the start of a term.
+// Entry is one entry of the log: the changes of a transaction, or no changes at the start of a term.
 type Entry struct {
 	Term    core.Term
 	Changes []Change
 }
 
-// Run says that the entries up to Last, after the previous run's, belong to Term. The runs of a
-// log identify it: two logs that have the same term at an offset are equal up to there.
+// Run is a sequence of consecutive entries of one term, which ends with the offset Last. The runs of two
+// logs suffice to compare them: logs that have the same term at an offset are equal up to there.
 type Run struct {
 	Term core.Term
 	Last core.Offset
 }
 
-// runsOf summarizes a log.
+// runsOf returns the runs of a log.
 func runsOf(log []Entry) []Run {
 	var runs []Run
 	for i, e := range log {
@@ -62,8 +62,8 @@
 	return common
 }
 
-// position returns the position of the entry at the offset.
-func position(log []Entry, n int) core.Position {
+// positionAt returns the position of the entry at offset n, the zero position if n is 0.
+func positionAt(log []Entry, n int) core.Position {
 	if n == 0 {
 		return core.Position{}
 	}
@@ -81,21 +81,21 @@
 	t := db.tables[c.Table]
 	switch {
 	case c.Create != nil:
-		c.before.table = t
+		c.undo.table = t
 		db.tables[c.Table] = newTable(c.Create)
 		db.schema++
 	case c.Drop:
-		c.before.table = t
+		c.undo.table = t
 		delete(db.tables, c.Table)
 		db.schema++
 	case t == nil || c.Row != nil && len(c.Row) != len(t.def.Columns):
 		// Another transaction dropped or replaced the table before this one committed.
-		c.before.skipped = true
+		c.undo.skipped = true
 	case c.Row == nil:
-		c.before.row = t.rows[c.Key].values
+		c.undo.row = t.rows[c.Key].values
 		t.remove(c.Key)
 	default:
-		c.before.row = t.rows[c.Key].values
+		c.undo.row = t.rows[c.Key].values
 		t.put(c.Key, c.Row)
 	}
 }
@@ -105,18 +105,18 @@
 	for i := len(changes) - 1; i >= 0; i-- {
 		c := &changes[i]
 		switch {
-		case c.before.skipped:
+		case c.undo.skipped:
 		case c.Create != nil || c.Drop:
 			db.schema++
-			if c.before.table == nil {
+			if c.undo.table == nil {
 				delete(db.tables, c.Table)
 				continue
 			}
-			db.tables[c.Table] = c.before.table
-		case c.before.row == nil:
+			db.tables[c.Table] = c.undo.table
+		case c.undo.row == nil:
 			db.tables[c.Table].remove(c.Key)
 		default:
-			db.tables[c.Table].put(c.Key, c.before.row)
+			db.tables[c.Table].put(c.Key, c.undo.row)
 		}
 	}
 }
--- a/stand/dbsim/model_test.go
+++ b/stand/dbsim/model_test.go
@@ -14,7 +14,7 @@
 // event is one step of a random history of a group.
 type event struct {
 	Kind string
-	// A and B are indexes of hosts, Hosts a set of them.
+	// A and B are indexes of hosts, Hosts is a set of such indexes.
 	A, B  int
 	Hosts []int
 }
@@ -34,35 +34,35 @@
 	}), 1, 40).Draw(t, "events")
 }
 
-// history is the state of a run through the events.
+// history is the state of a run of the events.
 type history struct {
-	g    *group
-	term core.Term
-	next int64
-	// confirmed holds the ids of writes that a majority held under their term.
+	g      *group
+	term   core.Term
+	lastID int64
+	// confirmed holds the ids of writes that a majority of the hosts had in the log in the write's term.
 	confirmed []int64
 }
 
-// Guards against a simulator that loses writes which a majority held, or whose replicas differ: the
-// safety of failover rests on that.
+// Guards against a simulator that loses writes which a majority had in the log, or whose replicas
+// diverge. Tests of failover rely on both properties.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		events := drawEvents(rt)
-		var problem string
-		inGroup(t, Config{}, hosts, func(g *group) {
+		var failure string
+		withGroup(t, Config{}, hosts, func(g *group) {
 			h := &history{g: g, term: 1}
 			if err := g.exec("a", "CREATE TABLE t (id int8 PRIMARY KEY)"); err != nil {
-				problem = err.Error()
+				failure = err.Error()
 				return
 			}
 			time.Sleep(time.Second)
 			for _, e := range events {
 				h.step(e)
 			}
-			problem = h.finish()
+			failure = h.finish()
 		})
-		if problem != "" {
-			rt.Fatal(problem)
+		if failure != "" {
+			rt.Fatal(failure)
 		}
 	})
 }
@@ -91,10 +91,11 @@
 	time.Sleep(time.Duration(10+100*e.B) * time.Millisecond)
 }
 
-// write commits on the host and notes the write if a majority holds it.
+// write inserts a row on the host. If a majority has it in the log after 100 ms, it records the write as
+// confirmed.
 func (h *history) write(host string) {
-	h.next++
-	id := h.next
+	h.lastID++
+	id := h.lastID
 	if h.g.exec(host, fmt.Sprintf("INSERT INTO t VALUES (%d)", id)) != nil {
 		return
 	}
@@ -113,7 +114,7 @@
 }
 
 // failover prepares a new term on the hosts and, if they are a majority, promotes the one with the
-// longest log. Halfway, it stops after that.
+// highest log position. If complete, it then makes the others follow it.
 func (h *history) failover(indexes []int, complete bool) {
 	h.term++
 	best := ""
@@ -135,7 +136,8 @@
 	}
 }
 
-// finish heals the group and compares the upstreams.
+// finish heals all links, completes a failover and checks the upstreams. It returns a failure message, or
+// an empty string.
 func (h *history) finish() string {
 	for _, a := range hosts {
 		for _, b := range hosts {
--- a/stand/dbsim/parse.go
+++ b/stand/dbsim/parse.go
@@ -4,10 +4,10 @@
 	"strings"
 )
 
-// maxParam is the highest number of a parameter, as in the protocol's 16-bit counts.
+// maxParam is the highest number of a parameter: the protocol has 16-bit parameter counts.
 const maxParam = 65535
 
-// Parse reads SQL text that may hold several statements. Its errors are *SQLError.
+// Parse parses SQL text with any number of statements, separated by semicolons. Its errors are *SQLError.
 func Parse(sql string) ([]Statement, error) {
 	p := &parser{lex: lexer{src: sql}}
 	if err := p.advance(); err != nil {
@@ -41,11 +41,11 @@
 	lex lexer
 	tok token
 	err error
-	// depth limits the nesting of expressions.
+	// depth is the nesting depth of the current expression.
 	depth int
 }
 
-// maxDepth keeps hostile input from exhausting the stack.
+// maxDepth limits the nesting of expressions, which could exhaust the stack otherwise.
 const maxDepth = 100
 
 func (p *parser) advance() error {
@@ -86,7 +86,8 @@
 	return p.advance() == nil
 }
 
-// accept consumes the words if the next one is the first of them.
+// accept consumes the words if the next token is the first of them. It records an error if the others don't
+// follow.
 func (p *parser) accept(words ...string) bool {
 	if !p.isWord(words[0]) {
 		return false
@@ -111,7 +112,7 @@
 	}
 }
 
-// name reads an identifier with an optional schema.
+// name parses an identifier with an optional schema.
 func (p *parser) name() string {
 	name := p.ident()
 	for p.acceptSymbol(".") {
@@ -130,7 +131,7 @@
 	return s
 }
 
-// list reads elements between commas.
+// list parses a comma-separated list of at least one element.
 func (p *parser) list(element func()) {
 	element()
 	for p.acceptSymbol(",") {
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// begin reads the modes of a transaction. Isolation levels are accepted and ignored.
+// begin parses the modes of a transaction. Isolation levels are accepted and ignored.
 func (p *parser) begin() Statement {
 	s := &Begin{}
 	for p.err == nil {
@@ -232,7 +233,7 @@
 	return s
 }
 
-// columnOrKey reads a column or PRIMARY KEY (column).
+// columnOrKey parses a column or PRIMARY KEY (column).
 func (p *parser) columnOrKey(s *CreateTable) {
 	if !p.accept("primary", "key") {
 		s.Columns = append(s.Columns, p.column())
@@ -335,7 +336,7 @@
 	return s
 }
 
-// controlSchema prefixes the functions that are not part of the SQL engine.
+// controlSchema is the prefix of the control functions' names.
 const controlSchema = "snipewall."
 
 func (p *parser) update() Statement {
--- a/stand/dbsim/parseselect.go
+++ b/stand/dbsim/parseselect.go
@@ -76,7 +76,7 @@
 	return s
 }
 
-// call reads the arguments of a function after FROM.
+// call parses the arguments of a control function after FROM.
 func (p *parser) call(name string) Statement {
 	if !strings.HasPrefix(name, controlSchema) {
 		p.fail(sqlErrorf(stateNoFunction, "function %s does not exist", name))
@@ -132,7 +132,7 @@
 	return c
 }
 
-// expr reads a sum of primary expressions.
+// expr parses a sum or difference of primary expressions.
 func (p *parser) expr() *Expr {
 	p.depth++
 	defer func() { p.depth-- }()
@@ -150,14 +150,14 @@
 }
 
 func (p *parser) primaryExpr() *Expr {
-	e := p.bareExpr()
+	e := p.uncastExpr()
 	for p.acceptSymbol("::") {
 		e.Cast, _ = p.columnType()
 	}
 	return e
 }
 
-func (p *parser) bareExpr() *Expr {
+func (p *parser) uncastExpr() *Expr {
 	tok := p.tok
 	switch {
 	case tok.kind == tokenNumber:
@@ -193,7 +193,7 @@
 	return &Expr{Kind: ExprColumn, Column: name}
 }
 
-// number reads an integer or a decimal number.
+// number parses an integer or a decimal number.
 func (p *parser) number(sign string) *Expr {
 	if p.tok.kind != tokenNumber {
 		p.unexpected()
--- a/stand/dbsim/project.go
+++ b/stand/dbsim/project.go
@@ -8,11 +8,12 @@
 	fields     []Field
 	out        [][]Value
 	aggregates bool
-	// acc holds the aggregates so far.
+	// acc holds the values of the aggregates for the rows added so far.
 	acc []Value
 }
 
-// project checks the items against the table.
+// project returns a projection. It returns an error if the items name unknown columns or mix aggregates
+// with columns.
 func (tx *Tx) project(def *TableDef, items []Item, params []Value) (*projection, error) {
 	fields, err := itemFields(def, items, nil)
 	if err != nil {
@@ -80,7 +81,7 @@
 	}
 }
 
-// add takes a row of the table into the output.
+// add adds a row of the table to the output or the aggregates.
 func (p *projection) add(row []Value) error {
 	if len(p.items) == 0 {
 		return nil
--- a/stand/dbsim/replica.go
+++ b/stand/dbsim/replica.go
@@ -15,36 +15,41 @@
 	"snipewall/core"
 )
 
-// Times of replication.
+// Delays and limits of replication.
 const (
-	// redialTime is the pause before a replica connects again.
-	redialTime = 50 * time.Millisecond
-	// streamSilence is how long a replica waits for its primary before it connects again.
-	streamSilence = time.Second
-	// shipBatch limits the entries of one shipment.
-	shipBatch = 500
-	// shipQueue limits the shipments that wait for the lag to pass.
-	shipQueue = 4096
+	// redialDelay is the delay before a replica connects again after its stream has ended.
+	redialDelay = 50 * time.Millisecond
+	// streamTimeout limits a replica's connection attempts, and the time without a message from its
+	// primary before it connects again.
+	streamTimeout = time.Second
+	// maxShipmentEntries limits the number of entries in a shipment.
+	maxShipmentEntries = 500
+	// shipmentQueueLen limits the number of received shipments that wait until the ship lag has passed.
+	shipmentQueueLen = 4096
 )
 
-// hello is what a replica sends first: the term in which it follows, and what its log looks like.
+// hello is the first message of a replica: the term in which it follows the primary, and the runs of its
+// log.
 type hello struct {
 	Term core.Term
 	Runs []Run
 }
 
-// shipment is what a primary sends. The first one tells the offset up to which the logs agree; one
-// without entries is a heartbeat.
+// shipment is a message from a primary to a replica. The first one has Start set. A later one without
+// entries is a heartbeat.
 type shipment struct {
-	Start   bool
-	Common  core.Offset
+	Start bool
+	// Common is the offset up to which the logs are equal, if Start is set.
+	Common core.Offset
+	// First is the offset of the first of Entries.
 	First   core.Offset
 	Entries []Entry
-	// Refused tells why the primary does not ship.
+	// Refused is the reason if the upstream refuses to ship its log.
 	Refused string
 }
 
-// serveReplica ships the log to a replica until the connection or the term ends.
+// serveReplica ships the log to a replica until the connection ends or the upstream is no longer primary of
+// the replica's term.
 func (s *Server) serveReplica(l *link, c net.Conn, be *pgproto3.Backend) error {
 	be.Send(&pgproto3.AuthenticationOk{})
 	be.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
@@ -61,16 +66,16 @@
 	}
 	ctx, cancel := context.WithCancel(l.ctx)
 	defer cancel()
-	gone := make(chan struct{})
+	disconnected := make(chan struct{})
 	go func() {
-		defer close(gone)
-		// A replica sends nothing more, so that this ends with the connection.
+		defer close(disconnected)
+		// A replica sends no second message, so this blocks until the connection ends.
 		_ = dec.Decode(new(hello))
 		cancel()
 	}()
 	err := s.ship(ctx, c, h)
 	_ = l.Close()
-	<-gone
+	<-disconnected
 	return err
 }
 
@@ -95,9 +100,9 @@
 	heartbeat := time.NewTicker(s.cfg.Heartbeat)
 	defer heartbeat.Stop()
 	for {
-		entries, ok := s.db.entriesAfter(h.Term, after, shipBatch)
+		entries, ok := s.db.entriesAfter(h.Term, after, maxShipmentEntries)
 		if !ok {
-			return errors.New("the term has ended")
+			return errors.New("no longer primary of the replica's term")
 		}
 		if len(entries) > 0 {
 			if err := send(shipment{First: after + 1, Entries: entries}); err != nil {
@@ -118,12 +123,12 @@
 	}
 }
 
-// replicate follows whichever primary the database is told to follow.
+// replicate follows the primary that the database names, and reconnects when a stream ends.
 func (s *Server) replicate(ctx context.Context) {
 	changed, stop := s.db.watch()
 	defer stop()
 	for ctx.Err() == nil {
-		st, ok := s.db.following()
+		st, ok := s.db.streamToFollow()
 		if !ok {
 			select {
 			case <-changed:
@@ -133,21 +138,21 @@
 		}
 		err := s.followStream(ctx, st)
 		level.Info(s.cfg.Logger).Log("Msg", "replication ended", "Primary", st.primary, "Term", st.term, "Err", err)
-		if s.db.current(st) {
-			_ = sleep(ctx, redialTime)
+		if s.db.isCurrent(st) {
+			_ = sleep(ctx, redialDelay)
 		}
 	}
 }
 
-// followStream connects to the primary and follows it until the connection fails or the database is
-// told to follow another one.
+// followStream connects to the primary and receives its log until the connection fails or the stream is no
+// longer valid.
 func (s *Server) followStream(ctx context.Context, st stream) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go s.cancelWhenStale(ctx, cancel, st)
-	dialCtx, dialed := context.WithTimeout(ctx, streamSilence)
+	dialCtx, cancelDial := context.WithTimeout(ctx, streamTimeout)
 	c, err := s.cfg.Dial(dialCtx, st.primary)
-	dialed()
+	cancelDial()
 	if err != nil {
 		return err
 	}
@@ -155,10 +160,10 @@
 	defer func() { _ = l.Close() }()
 	stop := l.closeAfter(ctx)
 	defer stop()
-	if err := l.SetDeadline(time.Now().Add(streamSilence)); err != nil {
+	if err := l.SetDeadline(time.Now().Add(streamTimeout)); err != nil {
 		return err
 	}
-	if err := s.greetPrimary(l); err != nil {
+	if err := s.performStartup(l); err != nil {
 		return err
 	}
 	if err := gob.NewEncoder(l).Encode(hello{Term: st.term, Runs: s.db.logRuns()}); err != nil {
@@ -167,12 +172,12 @@
 	return s.receive(ctx, l, st)
 }
 
-// cancelWhenStale ends the context when the stream is no longer what the replica should follow.
+// cancelWhenStale calls cancel when the stream is no longer valid.
 func (s *Server) cancelWhenStale(ctx context.Context, cancel context.CancelFunc, st stream) {
 	defer cancel()
 	changed, stop := s.db.watch()
 	defer stop()
-	for s.db.current(st) {
+	for s.db.isCurrent(st) {
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -181,8 +186,8 @@
 	}
 }
 
-// greetPrimary performs the start-up of a replication connection.
-func (s *Server) greetPrimary(l *link) error {
+// performStartup performs the PostgreSQL start-up of a replication connection, on the replica's side.
+func (s *Server) performStartup(l *link) error {
 	fe := pgproto3.NewFrontend(l, l)
 	fe.Send(&pgproto3.StartupMessage{
 		ProtocolVersion: pgproto3.ProtocolVersionNumber,
@@ -205,26 +210,27 @@
 	}
 }
 
-// arrival is a shipment and when it arrived.
-type arrival struct {
+// receivedShipment is a shipment with its time of arrival.
+type receivedShipment struct {
 	shipment
 	at time.Time
 }
 
-// receive reads shipments and hands them to the log after the lag.
+// receive reads shipments until the stream ends. Another goroutine appends them to the log after the ship
+// lag.
 func (s *Server) receive(ctx context.Context, l *link, st stream) error {
-	queue := make(chan arrival, shipQueue)
+	queue := make(chan receivedShipment, shipmentQueueLen)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		s.store(ctx, st, queue)
+		s.appendShipments(ctx, st, queue)
 	}()
 	defer func() { <-done }()
 	defer close(queue)
 	dec := gob.NewDecoder(l)
 	for {
 		var m shipment
-		if err := l.SetReadDeadline(time.Now().Add(streamSilence)); err != nil {
+		if err := l.SetReadDeadline(time.Now().Add(streamTimeout)); err != nil {
 			return err
 		}
 		if err := dec.Decode(&m); err != nil {
@@ -233,21 +239,22 @@
 		if m.Refused != "" {
 			return errors.New(m.Refused)
 		}
-		if !s.db.hear(st) {
-			return errors.New("no longer following")
+		if !s.db.recordHeard(st) {
+			return errors.New("the replica no longer follows this primary and term")
 		}
 		select {
-		case queue <- arrival{shipment: m, at: time.Now()}:
+		case queue <- receivedShipment{shipment: m, at: time.Now()}:
 		case <-done:
-			return errors.New("the log did not accept a shipment")
+			return errors.New("shipment could not be appended to the log")
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// store adds shipments to the log when the lag has passed.
-func (s *Server) store(ctx context.Context, st stream, queue <-chan arrival) {
+// appendShipments appends queued shipments to the log once the ship lag has passed since their arrival. It
+// returns when the queue is closed, or when a shipment doesn't fit the log or the stream.
+func (s *Server) appendShipments(ctx context.Context, st stream, queue <-chan receivedShipment) {
 	for a := range queue {
 		if err := s.faults.awaitThaw(ctx); err != nil {
 			return
--- a/stand/dbsim/select.go
+++ b/stand/dbsim/select.go
@@ -7,22 +7,22 @@
 	"snipewall/core"
 )
 
-// matching finds the rows of a WHERE clause, by key if it names one.
-func (tx *Tx) matching(def *TableDef, where []Cond, params []Value) ([]newRow, error) {
+// findRows returns the rows that match a WHERE clause. It scans the table unless the clause has the key.
+func (tx *Tx) findRows(def *TableDef, where []Cond, params []Value) ([]keyedRow, error) {
 	f, err := newFilter(def, where, params)
 	if err != nil {
 		return nil, err
 	}
-	var found []newRow
-	if f.byKey {
+	var found []keyedRow
+	if f.hasKey {
 		if values := tx.get(def, f.key); values != nil && f.match(values) {
-			found = append(found, newRow{key: f.key, values: values})
+			found = append(found, keyedRow{key: f.key, values: values})
 		}
 		return found, nil
 	}
 	tx.scan(def, func(key Value, values []Value) {
 		if f.match(values) {
-			found = append(found, newRow{key: key, values: values})
+			found = append(found, keyedRow{key: key, values: values})
 		}
 	})
 	return found, nil
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	found, err := tx.matching(def, s.Where, params)
+	found, err := tx.findRows(def, s.Where, params)
 	if err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 	return res, nil
 }
 
-// selectValues answers a SELECT without a table.
+// selectValues runs a SELECT without a table.
 func selectValues(s *Select, params []Value) (*Rows, error) {
 	res := &Rows{Tag: "SELECT 1"}
 	var values []Value
@@ -96,7 +96,7 @@
 	return res, nil
 }
 
-func sortRows(def *TableDef, rows []newRow, order []Order) error {
+func sortRows(def *TableDef, rows []keyedRow, order []Order) error {
 	columns := make([]int, len(order))
 	for i, o := range order {
 		c, err := def.column(o.Column)
@@ -108,7 +108,7 @@
 	if len(order) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(rows, func(a, b newRow) int {
+	slices.SortStableFunc(rows, func(a, b keyedRow) int {
 		for i, c := range columns {
 			n := a.values[c].compare(b.values[c])
 			if order[i].Desc {
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// statusRows is the answer of the control functions.
+// statusRows returns the result of the control functions prepare, promote, follow and status.
 func statusRows(s core.UpstreamStatus) *Rows {
 	heard := s.Heard.Milliseconds()
 	if s.Heard < 0 {
--- a/stand/dbsim/server.go
+++ b/stand/dbsim/server.go
@@ -15,46 +15,47 @@
 	"snipewall/core"
 )
 
-// Config describes an upstream.
+// Config configures a Server. The zero value works.
 type Config struct {
 	// Slots is the number of statements that execute at once; 0 means no limit.
 	Slots int
 	// Connections limits the connections of callers; 0 means no limit.
 	Connections int
-	// Reserved is the number of further connections for control functions only. Connections belong
-	// to them if their application_name is ControlName. 0 means 16.
+	// Reserved is the number of further connections, for control functions only. A connection counts
+	// as one of them if its application_name is ControlApplicationName. 0 means 16.
 	Reserved int
 	// ConnectTime is how long the start-up of a connection takes.
 	ConnectTime time.Duration
-	// ServiceTime is how long a statement occupies its slot.
+	// ServiceTime is how long a statement takes, during which it occupies its slot.
 	ServiceTime time.Duration
 	// ControlTime is how long a control function takes.
 	ControlTime time.Duration
-	// Delay is the network delay to callers in each direction.
+	// Delay is the one-way network delay between the upstream and its callers.
 	Delay time.Duration
-	// ShipLag delays entries from the primary before they enter the log.
+	// ShipLag delays entries from the primary before they enter this replica's log.
 	ShipLag time.Duration
-	// ApplyLag delays entries in the log before reads see them.
+	// ApplyLag delays entries in this replica's log before reads see them.
 	ApplyLag time.Duration
-	// Heartbeat is the interval at which a primary tells its replicas that it is alive; 0 means 50 ms.
+	// Heartbeat is the interval of a primary's heartbeats to its replicas; 0 means 50 ms.
 	Heartbeat time.Duration
 	// Dial opens connections to other upstreams; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// TLS, if set, is offered to clients that ask for encryption.
+	// TLS is used for clients that request it; nil means no TLS.
 	TLS *tls.Config
-	// Logger takes events; nil means none.
+	// Logger receives log messages; nil means no logging.
 	Logger log.Logger
 }
 
-// ControlName is the application_name of connections that count against the reserved ones.
-const ControlName = "snipewall-control"
+// ControlApplicationName is the application_name of connections that use Config.Reserved and may run control
+// functions only.
+const ControlApplicationName = "snipewall-control"
 
 const (
 	defaultReserved  = 16
 	defaultHeartbeat = 50 * time.Millisecond
 )
 
-// New returns a server for the database. Serve starts it.
+// New returns a server for the database. It does nothing until Serve is called.
 func (c Config) New(db *Database) *Server {
 	if c.Reserved == 0 {
 		c.Reserved = defaultReserved
@@ -79,36 +80,38 @@
 	return new(net.Dialer).DialContext(ctx, "tcp", address)
 }
 
-// Server is the process of one upstream.
+// Server simulates the server process of one upstream.
 type Server struct {
 	cfg    Config
 	db     *Database
 	faults *faults
-	// slots limits the statements that execute at once, nil means no limit.
+	// slots has one element for each statement that executes; nil means no limit.
 	slots chan struct{}
 
-	callers  atomic.Int64
-	controls atomic.Int64
-	nextPID  atomic.Uint32
+	callerConns  atomic.Int64
+	controlConns atomic.Int64
+	lastPID      atomic.Uint32
 	// sessions holds the *session of each sessionKey.
 	sessions sync.Map
 
 	// executed counts the statements that occupied a slot.
 	executed atomic.Uint64
-	// waiting counts the statements that wait for a slot; busy is the time, in ns, that slots were
-	// occupied.
+	// waiting counts the statements that wait for a slot. busy is the total time that slots were occupied,
+	// in ns.
 	waiting atomic.Int64
 	busy    atomic.Int64
 }
 
-// Database returns the durable state.
+// Database returns the database that the server was created with.
 func (s *Server) Database() *Database { return s.db }
 
-// Stats describes the load of a server.
+// Stats holds the status and the load of a server. GET /status of the admin port returns it as JSON.
 type Stats struct {
-	Status      core.UpstreamStatus
+	Status core.UpstreamStatus
+	// Connections is the number of open connections of callers.
 	Connections int
-	Controls    int
+	// Controls is the number of open connections for control functions.
+	Controls int
 	// Executed is the number of statements that occupied a slot.
 	Executed uint64
 	// Waiting is the number of statements that wait for a slot.
@@ -117,20 +120,20 @@
 	Busy time.Duration
 }
 
-// Stats returns the load.
+// Stats returns the current status and load.
 func (s *Server) Stats() Stats {
 	return Stats{
 		Status:      s.db.Status(),
-		Connections: int(s.callers.Load()),
-		Controls:    int(s.controls.Load()),
+		Connections: int(s.callerConns.Load()),
+		Controls:    int(s.controlConns.Load()),
 		Executed:    s.executed.Load(),
 		Waiting:     int(s.waiting.Load()),
 		Busy:        time.Duration(s.busy.Load()),
 	}
 }
 
-// Serve accepts connections until ctx ends or the listener is closed, then closes all connections
-// and waits for their end. Their open transactions are rolled back.
+// Serve accepts connections until ctx ends or the listener is closed. Then it closes all connections, which
+// rolls back their transactions, and waits until they have ended.
 func (s *Server) Serve(ctx context.Context, lis net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -162,7 +165,7 @@
 	}
 }
 
-// applyLagged applies entries of the log when their lag has passed.
+// applyLagged applies entries of the log when the apply lag has passed since their arrival.
 func (s *Server) applyLagged(ctx context.Context) {
 	changed, stop := s.db.watch()
 	defer stop()
@@ -179,14 +182,14 @@
 		select {
 		case <-changed:
 		case <-timer:
-		case <-s.faults.change():
+		case <-s.faults.nextChange():
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// takeSlot waits for a slot.
+// takeSlot blocks until a slot is free, at most until ctx ends. releaseSlot frees it.
 func (s *Server) takeSlot(ctx context.Context) error {
 	if s.slots == nil {
 		return nil
--- a/stand/dbsim/session.go
+++ b/stand/dbsim/session.go
@@ -10,50 +10,51 @@
 	"snipewall/core"
 )
 
-// commitParameter is the ParameterStatus that reports the position of a commit.
+// commitParameter is the name of the ParameterStatus that reports the position of a commit.
 const commitParameter = "snipewall.commit_position"
 
 // txState is the transaction state of a session.
 type txState uint8
 
 const (
-	// txNone says that no transaction is open.
+	// txNone is the state without a transaction.
 	txNone txState = iota
-	// txImplicit is a transaction that ends with the query or at Sync.
+	// txImplicit is a transaction that ends with the simple query or at Sync.
 	txImplicit
 	// txExplicit is a transaction that BEGIN opened.
 	txExplicit
-	// txFailed is an explicit transaction after an error.
+	// txFailed is an explicit transaction after an error. Only its end is accepted.
 	txFailed
 )
 
-// session serves one connection.
+// session is the state of one connection after its start-up.
 type session struct {
 	srv *Server
 	l   *link
 	ctx context.Context
 	be  *pgproto3.Backend
-	// control restricts the session to control functions.
+	// control restricts the session to control functions and settings.
 	control bool
 	stmts   map[string]*prepared
 	portals map[string]*portal
 	params  map[string]string
 	tx      *Tx
 	state   txState
-	// skipping drops messages up to Sync after an error.
+	// skipping is set after an error in the extended protocol. Messages are skipped until Sync.
 	skipping bool
-	running  running
-	// holding tells that the session occupies a slot, since the time held.
-	holding bool
-	held    time.Time
-	// lost is set if the pending answer must not be sent.
-	lost loss
-	// afterFlush holds faults that start once the answer has left.
+	running  runningStatement
+	// holdsSlot is whether the session occupies a slot. slotSince is when it took the slot.
+	holdsSlot bool
+	slotSince time.Time
+	// pendingLoss is set if a fault drops the response that is being built.
+	pendingLoss loss
+	// afterFlush holds functions that set faults once the response has been sent.
 	afterFlush []func()
-	buf        []byte
-	// unsent counts the bytes of rows since the last flush.
-	unsent int
-	row    pgproto3.DataRow
+	// buf is reused for the values of each row.
+	buf []byte
+	// unflushedBytes counts the bytes of row values since the last flush.
+	unflushedBytes int
+	row            pgproto3.DataRow
 }
 
 func newSession(s *Server, l *link, be *pgproto3.Backend, control bool) *session {
@@ -69,17 +70,17 @@
 	}
 }
 
-// close rolls the open transaction back.
+// close rolls back the open transaction.
 func (ss *session) close() {
 	if ss.tx != nil {
 		ss.tx.Rollback()
 	}
 }
 
-// errLost ends a session whose answer is to be lost.
-var errLost = errors.New("answer lost by a fault")
+// errAnswerLost ends a session instead of sending a response that FaultLoseAnswer drops.
+var errAnswerLost = errors.New("connection closed without a response because of a fault")
 
-// run serves messages until the connection ends.
+// run handles messages until the connection ends.
 func (ss *session) run() error {
 	for {
 		msg, err := ss.be.Receive()
@@ -99,11 +100,11 @@
 			return nil
 		}
 		ss.query(msg.String)
-		return ss.ready()
+		return ss.sendReady()
 	case *pgproto3.Sync:
 		ss.skipping = false
 		ss.endImplicit()
-		return ss.ready()
+		return ss.sendReady()
 	case *pgproto3.Flush:
 		return ss.flush()
 	case *pgproto3.Terminate:
@@ -119,8 +120,8 @@
 	return nil
 }
 
-// ready ends the answer.
-func (ss *session) ready() error {
+// sendReady sends ReadyForQuery and flushes the response.
+func (ss *session) sendReady() error {
 	status := byte('I')
 	switch ss.state {
 	case txExplicit, txImplicit:
@@ -134,15 +135,15 @@
 
 func (ss *session) flush() error {
 	if !ss.control {
-		if err := sleep(ss.ctx, ss.srv.faults.lateness()); err != nil {
+		if err := sleep(ss.ctx, ss.srv.faults.answerDelay()); err != nil {
 			return err
 		}
 	}
-	switch ss.lost {
+	switch ss.pendingLoss {
 	case lossClose:
-		return errLost
+		return errAnswerLost
 	case lossSilent:
-		ss.l.mute.Store(true)
+		ss.l.muted.Store(true)
 	}
 	if err := ss.be.Flush(); err != nil {
 		return err
@@ -169,7 +170,7 @@
 	}
 }
 
-// endTx rolls the transaction back if it still has changes or locks.
+// endTx rolls back the transaction, if there is one, and sets the state.
 func (ss *session) endTx(next txState) {
 	if ss.tx != nil {
 		ss.tx.Rollback()
@@ -179,8 +180,8 @@
 	clear(ss.portals)
 }
 
-// open makes sure that a transaction is open.
-func (ss *session) open() {
+// ensureTx begins an implicit transaction if none is open.
+func (ss *session) ensureTx() {
 	if ss.state == txNone {
 		ss.tx = ss.srv.db.Begin(false)
 		ss.state = txImplicit
@@ -207,11 +208,11 @@
 func (ss *session) reportCommit(pos core.Position) {
 	ss.be.Send(&pgproto3.ParameterStatus{Name: commitParameter, Value: pos.String()})
 	if l := ss.srv.faults.takeLoss("commit"); l != lossNone {
-		ss.lost = l
+		ss.pendingLoss = l
 	}
 }
 
-// endImplicit commits the implicit transaction at its end.
+// endImplicit commits the implicit transaction, if there is one.
 func (ss *session) endImplicit() {
 	if ss.state != txImplicit {
 		return
@@ -272,15 +273,16 @@
 		ss.row.Values = append(ss.row.Values, b)
 	}
 	ss.be.Send(&ss.row)
-	if ss.unsent += len(ss.buf); ss.unsent > sendBuffer {
-		ss.unsent = 0
-		// An error shows up again when the answer ends.
+	if ss.unflushedBytes += len(ss.buf); ss.unflushedBytes > sendBufferBytes {
+		ss.unflushedBytes = 0
+		// The flush at the end of the response returns the error again.
 		_ = ss.be.Flush()
 	}
 }
 
-// sendBuffer is the size of the buffer that PostgreSQL fills before it sends part of an answer.
-const sendBuffer = 8 << 10
+// sendBufferBytes is the amount of row data after which part of a response is sent, as PostgreSQL does when
+// its send buffer is full.
+const sendBufferBytes = 8 << 10
 
 // formatOf returns the format code of column or parameter i as the protocol defines it: none means
 // text, one applies to all.
--- a/stand/dbsim/session_test.go
+++ b/stand/dbsim/session_test.go
@@ -37,7 +37,7 @@
 	return n
 }
 
-// Guards against readers that see uncommitted data, and against lost rollbacks.
+// Guards against reads of uncommitted data, and against changes that survive a rollback.
 func TestIsolation(t *testing.T) {
 	ctx := testContext(t)
 	_, address := start(t, Config{Slots: 1}, NewPrimary(1))
@@ -60,8 +60,8 @@
 	assert.Equal(t, tag.String(), "ROLLBACK")
 }
 
-// Guards against lost updates, and against a lock wait that keeps the only slot from the holder of
-// the lock.
+// Guards against lost updates, and against a statement that occupies the only slot while it waits for a
+// lock, so that the transaction that holds the lock can't proceed.
 func TestRowLocks(t *testing.T) {
 	ctx := testContext(t)
 	_, address := start(t, Config{Slots: 1}, NewPrimary(1))
@@ -79,7 +79,7 @@
 	assert.Equal(t, count(ctx, t, b, "SELECT n FROM t"), 4, "dropping a connection rolls back")
 }
 
-// Guards against a capacity that isn't limited by the slots.
+// Guards against more statements at once than there are slots.
 func TestSlots(t *testing.T) {
 	ctx := testContext(t)
 	srv, address := start(t, Config{Slots: 2, ServiceTime: 20 * time.Millisecond}, NewPrimary(1))
@@ -99,14 +99,14 @@
 	assert.Assert(t, time.Since(begin) >= 70*time.Millisecond)
 }
 
-// Guards against faults that are not in force on the connections of callers, or that can't be ended.
+// Guards against faults that don't affect the connections of callers, or that can't be switched off.
 func TestCallerFaults(t *testing.T) {
 	const pause = 150 * time.Millisecond
 	tests := []struct {
 		fault, value string
-		// blocked tells that the open connection stops answering for the duration of the fault.
+		// blocked is whether the open connection doesn't respond for the duration of the fault.
 		blocked bool
-		// ends tells that an open connection answers after the fault.
+		// ends is whether the open connection responds after the fault.
 		ends bool
 	}{
 		{FaultCut, "callers@150ms", true, true},
@@ -120,7 +120,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.fault+" "+tt.value, func(t *testing.T) {
-			inGroup(t, Config{ServiceTime: 10 * time.Millisecond}, []string{"a"}, func(g *group) {
+			withGroup(t, Config{ServiceTime: 10 * time.Millisecond}, []string{"a"}, func(g *group) {
 				srv := g.servers["a"]
 				c := g.connect("a")
 				_, err := c.Exec(g.ctx, "SELECT snipewall.fault($1, $2)", tt.fault, tt.value)
@@ -141,7 +141,7 @@
 	}
 }
 
-// Guards against faults with unknown names or values that are silently ignored.
+// Guards against unknown fault names and invalid values that are ignored without an error.
 func TestFaultValues(t *testing.T) {
 	srv := Config{}.New(NewPrimary(1))
 	for _, f := range [][2]string{
--- a/stand/dbsim/sql_test.go
+++ b/stand/dbsim/sql_test.go
@@ -10,7 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against statements that are misread, and against answers that differ from PostgreSQL's.
+// Guards against statements that are parsed wrongly, and against results and errors that differ from
+// PostgreSQL's.
 func TestStatements(t *testing.T) {
 	db := NewPrimary(1)
 	tests := []struct{ sql, want string }{
@@ -85,7 +86,8 @@
 	return out
 }
 
-// Guards against panics and endless loops on hostile SQL, and against statements that can't run.
+// Guards against SQL text that makes the parser panic or loop forever, and against parsed statements that
+// make the engine panic.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		"SELECT * FROM t WHERE a = $1 AND b IS NOT NULL ORDER BY c DESC LIMIT 3 FOR UPDATE",
@@ -113,7 +115,8 @@
 	})
 }
 
-// Guards against parameters of a wrong size or format that panic or change their value.
+// Guards against parameters of a wrong size or format that cause a panic, and against values that change
+// when they are encoded and decoded again.
 func FuzzDecodeValue(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 1}, uint8(TypeInt), true)
 	f.Add([]byte("t"), uint8(TypeBool), false)
--- a/stand/dbsim/statement.go
+++ b/stand/dbsim/statement.go
@@ -17,7 +17,7 @@
 	return false
 }
 
-// runStatement runs a statement in the session's transaction, which it opens or ends as needed.
+// runStatement runs a statement in the session's transaction. It begins or ends the transaction as needed.
 func (ss *session) runStatement(s Statement, params []Value) (*Rows, error) {
 	if ss.state == txFailed && !endsTx(s) {
 		return nil, errFailedTx
@@ -45,8 +45,8 @@
 		ss.endTx(txNone)
 		return &Rows{Tag: s.Tag()}, nil
 	}
-	ss.open()
-	return ss.work(s, params)
+	ss.ensureTx()
+	return ss.execSQL(s, params)
 }
 
 func (ss *session) begin(s *Begin) *Rows {
@@ -77,30 +77,32 @@
 	return &Rows{Tag: s.Tag()}, nil
 }
 
-// work runs a statement of the SQL engine in a slot for its service time.
-func (ss *session) work(s Statement, params []Value) (*Rows, error) {
-	asked, err := sleepTime(s, params)
+// execSQL runs a statement of the SQL engine. A cancel request can cancel it.
+func (ss *session) execSQL(s Statement, params []Value) (*Rows, error) {
+	sleepFor, err := sleepTime(s, params)
 	if err != nil {
 		return nil, err
 	}
 	ctx := ss.running.start(ss.ctx)
 	defer ss.running.end()
-	res, err := ss.workInSlot(ctx, s, params, asked)
+	res, err := ss.execInSlot(ctx, s, params, sleepFor)
 	if err != nil && ctx.Err() != nil && ss.ctx.Err() == nil {
 		return nil, sqlErrorf(stateCanceled, "canceling statement due to user request")
 	}
 	return res, err
 }
 
-func (ss *session) workInSlot(ctx context.Context, s Statement, params []Value, asked time.Duration) (*Rows, error) {
+// execInSlot waits for a slot, occupies it for the service time and sleepFor, and then executes the
+// statement.
+func (ss *session) execInSlot(ctx context.Context, s Statement, params []Value, sleepFor time.Duration) (*Rows, error) {
 	if err := ss.srv.takeSlot(ctx); err != nil {
 		return nil, err
 	}
-	ss.holding = true
-	ss.held = time.Now()
-	defer ss.leaveSlot()
+	ss.holdsSlot = true
+	ss.slotSince = time.Now()
+	defer ss.freeSlot()
 	ss.srv.executed.Add(1)
-	if d := asked + ss.srv.faults.scale(ss.srv.cfg.ServiceTime); d > 0 {
+	if d := sleepFor + ss.srv.faults.scale(ss.srv.cfg.ServiceTime); d > 0 {
 		if err := sleep(ctx, d); err != nil {
 			return nil, err
 		}
@@ -108,14 +110,16 @@
 	if err := ss.srv.faults.awaitThaw(ctx); err != nil {
 		return nil, err
 	}
-	// A statement that waits for a lock doesn't need its slot: the holder of the lock may need one.
-	return ss.tx.Exec(ctx, s, params, ss.leaveSlot)
+	// A statement frees its slot before it waits for a lock: the transaction that holds the lock may need
+	// the slot to proceed.
+	return ss.tx.Exec(ctx, s, params, ss.freeSlot)
 }
 
-func (ss *session) leaveSlot() {
-	if ss.holding {
-		ss.holding = false
-		ss.srv.busy.Add(int64(time.Since(ss.held)))
+// freeSlot frees the session's slot, if it occupies one.
+func (ss *session) freeSlot() {
+	if ss.holdsSlot {
+		ss.holdsSlot = false
+		ss.srv.busy.Add(int64(time.Since(ss.slotSince)))
 		ss.srv.releaseSlot()
 	}
 }
--- a/stand/dbsim/table.go
+++ b/stand/dbsim/table.go
@@ -21,12 +21,12 @@
 // row is one version of a row. Its values are never changed.
 type row struct {
 	values []Value
-	// seq is the place in the table's insertion order.
+	// seq is the row's sequence number in the table's insertion order.
 	seq uint64
 }
 
-// slot is an entry of the insertion order. It is dead if the table's row of the key has another seq.
-type slot struct {
+// orderEntry is an entry of the insertion order. It is stale if the table has no row with this key and seq.
+type orderEntry struct {
 	key Value
 	seq uint64
 }
@@ -35,28 +35,29 @@
 type table struct {
 	def   *TableDef
 	rows  map[Value]row
-	order []slot
-	// nextSeq numbers insertions; nextKey numbers rows without a primary key and serial columns.
-	nextSeq uint64
-	nextKey int64
+	order []orderEntry
+	// lastSeq is the last seq that was assigned. lastKey is the last number that was assigned to a serial
+	// column or to a row of a table without a primary key.
+	lastSeq uint64
+	lastKey int64
 }
 
 func newTable(def *TableDef) *table {
 	return &table{def: def, rows: make(map[Value]row)}
 }
 
-// put inserts or replaces a row.
+// put inserts or replaces a row. A replaced row keeps its place in the insertion order.
 func (t *table) put(key Value, values []Value) {
 	old, ok := t.rows[key]
 	if ok {
 		t.rows[key] = row{values: values, seq: old.seq}
 		return
 	}
-	t.nextSeq++
-	t.rows[key] = row{values: values, seq: t.nextSeq}
-	t.order = append(t.order, slot{key: key, seq: t.nextSeq})
-	if key.Type == TypeInt && key.Int > t.nextKey {
-		t.nextKey = key.Int
+	t.lastSeq++
+	t.rows[key] = row{values: values, seq: t.lastSeq}
+	t.order = append(t.order, orderEntry{key: key, seq: t.lastSeq})
+	if key.Type == TypeInt && key.Int > t.lastKey {
+		t.lastKey = key.Int
 	}
 }
 
@@ -67,7 +68,7 @@
 	}
 }
 
-// compact drops the dead entries of the insertion order.
+// compact removes the stale entries of the insertion order.
 func (t *table) compact() {
 	live := t.order[:0]
 	for _, s := range t.order {
--- a/stand/dbsim/tx.go
+++ b/stand/dbsim/tx.go
@@ -7,10 +7,11 @@
 	"snipewall/core"
 )
 
-// lockWait is how long a transaction waits for a lock before the simulator assumes a deadlock.
-const lockWait = 2 * time.Second
+// lockTimeout is how long a transaction waits for a lock before it fails with a deadlock error. The
+// simulator doesn't detect deadlocks in another way.
+const lockTimeout = 2 * time.Second
 
-// lockKey names a row, or with a NULL key the definition of a table.
+// lockKey identifies a row or, with a NULL key, the definition of a table.
 type lockKey struct {
 	table string
 	key   Value
@@ -20,13 +21,14 @@
 type overlay struct {
 	// def is the definition as the transaction sees it, nil if it dropped the table.
 	def *TableDef
-	// fresh tells that the transaction created the table, so that the committed rows don't count.
-	fresh bool
-	rows  map[Value][]Value
+	// created is whether the transaction created the table. Then it doesn't see the committed rows of a
+	// table of that name.
+	created bool
+	rows    map[Value][]Value
 	// order holds the keys in the order of their first change.
 	order []Value
-	// nextKey numbers the rows of a table that the transaction created.
-	nextKey int64
+	// lastKey is the last number that was assigned to a row of a table that the transaction created.
+	lastKey int64
 }
 
 // Tx is a transaction. It reads committed data and its own changes, and locks the rows that it
@@ -46,7 +48,8 @@
 	return &Tx{db: db, readOnly: readOnly}
 }
 
-// Commit makes the changes durable and visible. It returns the zero position if there are none.
+// Commit appends the changes to the log, makes them visible and returns the position of the entry. Without
+// changes it returns the zero position.
 func (tx *Tx) Commit() (core.Position, error) {
 	if len(tx.changes) == 0 {
 		tx.end()
@@ -58,7 +61,7 @@
 	return tx.db.commitChanges(tx.changes)
 }
 
-// Rollback drops the changes. It may be called after the end.
+// Rollback discards the changes and releases the locks. It does nothing after the transaction has ended.
 func (tx *Tx) Rollback() { tx.end() }
 
 func (tx *Tx) end() {
@@ -70,7 +73,7 @@
 	tx.release()
 }
 
-// release gives the locks back. The caller holds the database's mutex.
+// release releases the locks and discards the changes. The caller holds the database's mutex.
 func (tx *Tx) release() {
 	for _, k := range tx.locks {
 		if tx.db.locks[k] == tx {
@@ -86,14 +89,16 @@
 	}
 }
 
-// lockConflict says that another transaction holds a lock.
+// lockConflict is the error that another transaction holds a lock. done is closed when that transaction
+// ends.
 type lockConflict struct {
 	done <-chan struct{}
 }
 
 func (*lockConflict) Error() string { return "row is locked" }
 
-// lock takes all locks or none. The caller holds the database's mutex.
+// lock acquires all locks or, if another transaction holds one, none. It doesn't block. The caller holds the
+// database's mutex.
 func (tx *Tx) lock(keys []lockKey) error {
 	for _, k := range keys {
 		if owner, ok := tx.db.locks[k]; ok && owner != tx {
@@ -112,9 +117,10 @@
 	return nil
 }
 
-// awaitLock waits until the transaction that holds the lock has ended.
+// awaitLock blocks until the transaction that holds the lock has ended, at most for lockTimeout or until ctx
+// ends.
 func awaitLock(ctx context.Context, c *lockConflict) error {
-	timer := time.NewTimer(lockWait)
+	timer := time.NewTimer(lockTimeout)
 	defer timer.Stop()
 	select {
 	case <-c.done:
@@ -138,7 +144,7 @@
 	return nil, sqlErrorf(stateNoTable, "relation %q does not exist", name)
 }
 
-// overlay returns the transaction's changes to a table for writing.
+// overlay returns the transaction's overlay of a table. It creates it if there is none.
 func (tx *Tx) overlay(def *TableDef) *overlay {
 	o, ok := tx.tables[def.Name]
 	if ok && o.def != nil {
@@ -169,7 +175,7 @@
 		if values, ok := o.rows[key]; ok {
 			return values
 		}
-		if o.fresh {
+		if o.created {
 			return nil
 		}
 	}
@@ -184,7 +190,7 @@
 func (tx *Tx) scan(def *TableDef, f func(key Value, values []Value)) {
 	o := tx.tables[def.Name]
 	t := tx.db.tables[def.Name]
-	if t != nil && (o == nil || !o.fresh) {
+	if t != nil && (o == nil || !o.created) {
 		t.scan(func(key Value, values []Value) {
 			if o != nil {
 				if own, ok := o.rows[key]; ok {
@@ -201,7 +207,7 @@
 	}
 	for _, key := range o.order {
 		committed := false
-		if t != nil && !o.fresh {
+		if t != nil && !o.created {
 			_, committed = t.rows[key]
 		}
 		if values := o.rows[key]; values != nil && !committed {
--- a/stand/dbsim/value.go
+++ b/stand/dbsim/value.go
@@ -31,7 +31,7 @@
 	oidVoid   = 2278
 )
 
-// oid returns the type's OID on the wire.
+// oid returns the type's OID in the PostgreSQL protocol.
 func (t Type) oid() uint32 {
 	switch t {
 	case TypeInt:
@@ -61,7 +61,8 @@
 	}
 }
 
-// typeOfOID converts the OID of a parameter. TypeNull stands for an OID that is left open.
+// typeOfOID returns the type of a parameter's OID. It returns TypeNull for OID 0, which leaves the type
+// unspecified, and TypeText for unknown OIDs.
 func typeOfOID(oid uint32) Type {
 	switch oid {
 	case 0:
@@ -132,8 +133,8 @@
 	}
 }
 
-// encode returns the value in the format of a DataRow, nil for NULL. The bytes are appended to dst,
-// of which the result is a part.
+// encode encodes the value for a DataRow message, as nil for NULL. It appends the bytes to dst and returns
+// the extended dst and the part that holds the value.
 func (v Value) encode(dst []byte, binaryFormat bool) (rest, value []byte) {
 	if v.IsNull() {
 		return dst, nil
@@ -155,7 +156,7 @@
 	return dst, dst[start:len(dst):len(dst)]
 }
 
-// decodeValue reads a parameter as Bind carries it.
+// decodeValue decodes a parameter of a Bind message.
 func decodeValue(src []byte, t Type, binaryFormat bool) (Value, error) {
 	if src == nil {
 		return Value{}, nil
@@ -222,7 +223,7 @@
 	}
 }
 
-// convert makes the value fit a column of the type.
+// convert converts the value to the type. It returns an error if that is not possible.
 func (v Value) convert(t Type) (Value, error) {
 	if v.IsNull() || v.Type == t || t == TypeNull {
 		return v, nil
@@ -236,7 +237,8 @@
 	return Value{}, sqlErrorf(stateTypeMismatch, "a value of type %d does not fit type %d", v.Type, t)
 }
 
-// compare orders two values of one type; NULL comes last.
+// compare returns a negative, zero or positive number, as v sorts before, with or after w. They must have
+// the same type or be numbers. NULL sorts last.
 func (v Value) compare(w Value) int {
 	switch {
 	case v.IsNull() && w.IsNull():
@@ -267,34 +269,34 @@
 
 // SQLSTATEs that the engine reports.
 const (
-	stateSyntax          = "42601"
-	stateNoTable         = "42P01"
-	stateTableExists     = "42P07"
-	stateNoColumn        = "42703"
-	stateNoFunction      = "42883"
-	stateNoParameter     = "42P02"
-	stateTypeMismatch    = "42804"
-	stateBadText         = "22P02"
-	stateBadBinary       = "22P03"
-	stateUnique          = "23505"
-	stateNotNull         = "23502"
-	stateReadOnly        = "25006"
-	stateFailedTx        = "25P02"
-	stateNoStatement     = "26000"
-	stateStatementExists = "42P05"
-	stateNoPortal        = "34000"
-	stateDeadlock        = "40P01"
-	stateTooMany         = "53300"
-	statePrerequisite    = "55000"
-	stateShutdown        = "57P01"
-	stateCanceled        = "57014"
-	stateProtocol        = "08P01"
-	stateUnsupported     = "0A000"
-	stateForbidden       = "42501"
-	stateBadParameter    = "22023"
+	stateSyntax             = "42601"
+	stateNoTable            = "42P01"
+	stateTableExists        = "42P07"
+	stateNoColumn           = "42703"
+	stateNoFunction         = "42883"
+	stateNoParameter        = "42P02"
+	stateTypeMismatch       = "42804"
+	stateBadText            = "22P02"
+	stateBadBinary          = "22P03"
+	stateUnique             = "23505"
+	stateNotNull            = "23502"
+	stateReadOnly           = "25006"
+	stateFailedTx           = "25P02"
+	stateNoStatement        = "26000"
+	stateStatementExists    = "42P05"
+	stateNoPortal           = "34000"
+	stateDeadlock           = "40P01"
+	stateTooManyConnections = "53300"
+	statePrerequisite       = "55000"
+	stateShutdown           = "57P01"
+	stateCanceled           = "57014"
+	stateProtocol           = "08P01"
+	stateUnsupported        = "0A000"
+	stateForbidden          = "42501"
+	stateBadParameter       = "22023"
 )
 
-// SQLError is an error that the simulator reports to its client.
+// SQLError is an error that is sent to the client with its SQLSTATE.
 type SQLError struct {
 	State   string
 	Message string
