--- a/stand/main.go
+++ b/stand/main.go
@@ -1,5 +1,4 @@
-// Command standin runs stand-ins for the systems around snipewall: a database upstream and the
-// platform.
+// Command standin simulates the systems that snipewall depends on: a database upstream and the platform.
 package main
 
 import (
@@ -19,7 +18,7 @@
 	}
 }
 
-// run runs a subcommand until it ends or the process is told to stop.
+// run runs a subcommand until it ends or the process receives SIGINT or SIGTERM.
 func run(args []string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/stand/platform.go
+++ b/stand/platform.go
@@ -12,10 +12,10 @@
 	"snipewall/stand/kvsim"
 )
 
-// platformStopTime bounds the wait for calls in flight when the process stops.
-const platformStopTime = time.Second
+// platformShutdownTimeout limits the wait for calls in flight when the process stops.
+const platformShutdownTimeout = time.Second
 
-// platformCommand runs the simulated platform until it is interrupted.
+// platformCommand returns the subcommand that simulates the platform until it is interrupted.
 func platformCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "platform",
@@ -39,26 +39,27 @@
 		WriteRate: cmd.Int("write-rate"),
 	})
 	var lc net.ListenConfig
-	l, err := lc.Listen(ctx, "tcp", cmd.String("listen"))
+	lis, err := lc.Listen(ctx, "tcp", cmd.String("listen"))
 	if err != nil {
 		return err
 	}
-	// Canceling the requests' base context ends waiting watches, so that Shutdown doesn't wait for them.
+	// Canceling the base context of the requests ends blocked watches, so that Shutdown doesn't wait for
+	// them.
 	srv := &http.Server{
 		Handler:           sim,
 		ReadHeaderTimeout: 10 * time.Second,
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 	}
-	end := make(chan error, 1)
-	go func() { end <- srv.Serve(l) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- srv.Serve(lis) }()
 	select {
-	case err := <-end:
+	case err := <-serveErr:
 		return err
 	case <-ctx.Done():
 	}
-	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), platformStopTime)
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), platformShutdownTimeout)
 	defer cancel()
-	err = srv.Shutdown(stop)
+	err = srv.Shutdown(shutdownCtx)
 	if errors.Is(err, context.DeadlineExceeded) {
 		return srv.Close()
 	}
--- a/stand/upstream_test.go
+++ b/stand/upstream_test.go
@@ -15,8 +15,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// launch runs the subcommand in this process and returns the addresses that it prints.
-func launch(t *testing.T, args ...string) (sql, admin string) {
+// startUpstream runs the subcommand upstream in this process until the test ends, and returns the
+// addresses that it prints.
+func startUpstream(t *testing.T, args ...string) (sql, admin string) {
 	t.Helper()
 	r, w, err := os.Pipe()
 	assert.NilError(t, err)
@@ -44,7 +45,7 @@
 	return sql, admin
 }
 
-func get(t *testing.T, admin string) string {
+func getStatus(t *testing.T, admin string) string {
 	t.Helper()
 	resp, err := http.Get("http://" + admin + "/status")
 	assert.NilError(t, err)
@@ -54,12 +55,12 @@
 	return string(body)
 }
 
-// Guards against flags that don't reach the simulator, and against an admin port that a fault blocks.
+// Guards against flags that have no effect on the simulator, and against faults that block the admin port.
 func TestUpstreamCommand(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	primary, admin := launch(t, "--term", "3", "--connections", "1")
-	_, replica := launch(t, "--follow", primary, "--term", "3")
+	primary, admin := startUpstream(t, "--term", "3", "--connections", "1")
+	_, replica := startUpstream(t, "--follow", primary, "--term", "3")
 	c, err := pgx.Connect(ctx, "postgres://app@"+primary+"/db?sslmode=disable")
 	assert.NilError(t, err)
 	defer func() { _ = c.Close(ctx) }()
@@ -67,7 +68,7 @@
 	assert.ErrorContains(t, err, "53300")
 	_, err = c.Exec(ctx, "CREATE TABLE t (id int8)")
 	assert.NilError(t, err)
-	for !strings.Contains(get(t, replica), `"Applied":{"Term":3,"Offset":2}`) {
+	for !strings.Contains(getStatus(t, replica), `"Applied":{"Term":3,"Offset":2}`) {
 		assert.NilError(t, ctx.Err())
 		time.Sleep(time.Millisecond)
 	}
