--- a/matrix/cell.go
+++ b/matrix/cell.go
@@ -114,7 +114,8 @@
 	return h, CheckAll(h)
 }
 
-// trigger causes a change of primary that includes the step.
+// trigger causes a change of primary in which, or after which, a driver runs the step. Only a planned change
+// has the steps Drain and CatchUp.
 func (sim *Simulation) trigger(step elect.Step) {
 	primary := sim.Primary()
 	if primary == "" {
@@ -127,9 +128,9 @@
 	default:
 		sim.failPrimary(primary)
 	}
-	sim.extendFaults(triggerTime)
+	sim.updateFaultsEnd(triggerTime)
 	sim.recordConnected()
-	sim.setBusy()
+	sim.extendFullRate()
 }
 
 // failPrimary kills or isolates the primary for triggerTime.
--- a/matrix/check.go
+++ b/matrix/check.go
@@ -93,7 +93,8 @@
 }
 
 // CheckReadYourWrites reports a read whose index doesn't cover a write that was acknowledged before the
-// read started. Any two operations may belong to one session, on any entry VMs.
+// read started. It compares every read with every write, because any two operations may belong to one
+// session, even on different entry VMs.
 func CheckReadYourWrites(h History) error {
 	writes := acknowledgedWrites(h)
 	slices.SortFunc(writes, func(a, b Op) int { return a.End.Compare(b.End) })
@@ -122,16 +123,16 @@
 		}
 	}
 	last := make(map[string]Observation)
-	for _, s := range h.Observations {
-		before := last[s.Site]
-		if s.Term < before.Term || s.Confirmed.Less(before.Confirmed) {
+	for _, o := range h.Observations {
+		before := last[o.Site]
+		if o.Term < before.Term || o.Confirmed.Less(before.Confirmed) {
 			return fmt.Errorf("%s saw term %d, confirmed %s after term %d, confirmed %s",
-				s.Site, s.Term, s.Confirmed, before.Term, before.Confirmed)
+				o.Site, o.Term, o.Confirmed, before.Term, before.Confirmed)
 		}
-		if s.Term == before.Term && s.Primary != before.Primary {
-			return fmt.Errorf("%s saw %s and %s in term %d", s.Site, before.Primary, s.Primary, s.Term)
+		if o.Term == before.Term && o.Primary != before.Primary {
+			return fmt.Errorf("%s saw %s and %s in term %d", o.Site, before.Primary, o.Primary, o.Term)
 		}
-		last[s.Site] = s
+		last[o.Site] = o
 	}
 	return nil
 }
@@ -210,14 +211,14 @@
 	return nil
 }
 
-// input is an operation on a register for the linearizability checker.
+// input is the input of an operation for the linearizability checker.
 type input struct {
 	key   string
 	write bool
 	value int
 }
 
-// register models keys that each hold one value, initially 0.
+// register is the checker's model of keys that each hold one value, initially 0.
 var register = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := make(map[string][]porcupine.Operation)
--- a/matrix/check_test.go
+++ b/matrix/check_test.go
@@ -23,9 +23,9 @@
 	return h
 }
 
-func newTestConfig(b Defects) SimulationConfig {
+func newTestConfig(defects Defects) SimulationConfig {
 	return SimulationConfig{
-		Seed: 5, Delay: time.Millisecond, Lag: 20 * time.Millisecond, Clients: 2, Every: 20 * time.Millisecond, Defects: b,
+		Seed: 5, Delay: time.Millisecond, Lag: 20 * time.Millisecond, Clients: 2, Every: 20 * time.Millisecond, Defects: defects,
 		Hook: func(_ *Simulation, _ string, step elect.Step) time.Duration {
 			if step == elect.StepRepair {
 				return 500 * time.Millisecond
@@ -46,7 +46,7 @@
 	time.Sleep(8 * time.Second)
 }
 
-// lossySplit makes the old primary accept writes from vm-a, which reaches only that one, while the new
+// lossySplit makes the old primary accept writes from vm-a, which reaches no other upstream, while the new
 // primary accepts writes from vm-b.
 func lossySplit(sim *Simulation) {
 	sim.Group.Isolate("u1", true, "vm-b")
@@ -61,7 +61,7 @@
 	time.Sleep(8 * time.Second)
 }
 
-// oldPrimaryReturns isolates the primary and reconnects it while its role is still primary.
+// oldPrimaryReturns isolates the primary and reconnects it while it still reports to be the primary.
 // newTestConfig's hook delays its repair, so that the entry VMs see it.
 func oldPrimaryReturns(sim *Simulation) {
 	sim.Group.Isolate("u1", true, sim.Sites()...)
@@ -117,7 +117,7 @@
 	time.Sleep(8 * time.Second)
 }
 
-// prepareOneReplica acts like a driver that failed after it had prepared one replica.
+// prepareOneReplica acts like a driver that crashed after it had prepared one replica.
 func prepareOneReplica(sim *Simulation) {
 	_, _ = sim.Group.Remote("vm-b", "u3").Prepare(sim.ctx, 9)
 	time.Sleep(8 * time.Second)
--- a/matrix/client.go
+++ b/matrix/client.go
@@ -11,8 +11,8 @@
 	"snipewall/core/fakes"
 )
 
-// readDeadline is the clients' deadline for a read.
-const readDeadline = 2 * time.Second
+// readTimeout is the clients' timeout for a read.
+const readTimeout = 2 * time.Second
 
 // keys are the keys that the clients read and write.
 var keys = []string{"x", "y"}
@@ -25,13 +25,13 @@
 			key := keys[i%len(keys)]
 			for _, f := range []func(context.Context, *vm, int, string){sim.write, sim.read} {
 				n++
-				sim.client(ctx, v, n, key, f)
+				sim.startClient(ctx, v, n, key, f)
 			}
 		}
 	}
 }
 
-func (sim *Simulation) client(ctx context.Context, v *vm, n int, key string, op func(context.Context, *vm, int, string)) {
+func (sim *Simulation) startClient(ctx context.Context, v *vm, n int, key string, op func(context.Context, *vm, int, string)) {
 	sim.clients.Add(1)
 	sim.run(ctx, func(ctx context.Context) error {
 		defer sim.clients.Done()
@@ -52,7 +52,7 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	every := sim.cfg.Every
-	if time.Now().After(sim.busyUntil) {
+	if time.Now().After(sim.fullRateUntil) {
 		every *= 5
 	}
 	return every/2 + time.Duration(sim.random.Int64N(int64(every)))
@@ -60,7 +60,7 @@
 
 // observe records the entry VM's view of the primary.
 func (sim *Simulation) observe(v *vm) {
-	id, term, ok := sim.primary(v)
+	id, term, ok := sim.observedPrimary(v)
 	if !ok {
 		return
 	}
@@ -71,7 +71,8 @@
 	})
 }
 
-func (sim *Simulation) primary(v *vm) (core.UpstreamID, core.Term, bool) {
+// observedPrimary returns the primary and its term according to the entry VM's monitor.
+func (sim *Simulation) observedPrimary(v *vm) (core.UpstreamID, core.Term, bool) {
 	if !sim.cfg.Defects.AnyPrimary {
 		return v.view.Primary()
 	}
@@ -85,7 +86,7 @@
 
 // write commits a new value and waits until it is confirmed.
 func (sim *Simulation) write(ctx context.Context, v *vm, client int, key string) {
-	id, _, ok := sim.primary(v)
+	id, _, ok := sim.observedPrimary(v)
 	if !ok {
 		return
 	}
@@ -94,7 +95,7 @@
 	sim.lastValue++
 	op.Value = sim.lastValue
 	sim.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, sim.cfg.WriteDeadline)
+	ctx, cancel := context.WithTimeout(ctx, sim.cfg.WriteTimeout)
 	defer cancel()
 	p, err := sim.Group.Remote(v.site, id).Write(ctx, key, op.Value)
 	if errors.Is(err, fakes.ErrReadOnly) || errors.Is(err, syscall.ECONNREFUSED) {
@@ -113,7 +114,7 @@
 // read reads at a read index from an upstream that has applied that position.
 func (sim *Simulation) read(ctx context.Context, v *vm, client int, key string) {
 	op := Op{Client: client, Site: v.site, Key: key, Start: time.Now()}
-	ctx, cancel := context.WithTimeout(ctx, readDeadline)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	p, err := sim.readIndex(ctx, v)
 	if err != nil {
@@ -141,11 +142,11 @@
 	return s.Log, nil
 }
 
-// readAt reads from a random upstream if that applies the position in a short time, and otherwise from the
-// primary.
+// readAt reads from a random upstream if it applies the position within a quarter of readTimeout, and
+// otherwise from the primary.
 func (sim *Simulation) readAt(ctx context.Context, v *vm, key string, p core.Position) (int, error) {
 	id := sim.randomUpstream()
-	short, cancel := context.WithTimeout(ctx, readDeadline/4)
+	short, cancel := context.WithTimeout(ctx, readTimeout/4)
 	defer cancel()
 	if err := v.view.WaitApplied(short, id, p); err == nil {
 		if value, err := sim.Group.Remote(v.site, id).ReadAt(short, key, p); err == nil {
--- a/matrix/doc.go
+++ b/matrix/doc.go
@@ -1,6 +1,7 @@
-// Package matrix contains the fault matrix. It runs the monitors and failover drivers of two entry VMs
-// against an in-memory group on the fake clock of testing/synctest, injects each fault at each step of
-// the driver, and checks the guarantees on the recorded history.
+// Package matrix contains the fault matrix. It runs the real monitors (core/quorum) and failover drivers
+// (core/elect) of two entry VMs against an in-memory group (core/fakes) on the fake clock of
+// testing/synctest, injects each fault at each step of the driver, and checks the guarantees on the
+// recorded history. As in core/fakes, a site is the name of an entry VM.
 //
 // A cell consists of a step (from elect.Steps), a fault (from Faults), whether the fault is injected
 // twice, and a seed. Clients write with Confirm and read with ReadIndex and WaitApplied during the whole
--- a/matrix/fault.go
+++ b/matrix/fault.go
@@ -8,7 +8,7 @@
 	"snipewall/core/fakes"
 )
 
-// Fault is a kind of fault, which is injected when a driver begins a step.
+// Fault is a kind of fault. A Cell injects it when a driver begins a step, a TimedFault at a given time.
 type Fault string
 
 // Faults of the matrix.
@@ -30,7 +30,7 @@
 	FaultPause Fault = "Pause"
 	// FaultSlow makes all upstreams 10 times slower.
 	FaultSlow Fault = "Slow"
-	// FaultAnswerLost drops the answers to the step's calls, which take effect.
+	// FaultAnswerLost drops the answers to the step's calls after the calls have taken effect.
 	FaultAnswerLost Fault = "AnswerLost"
 	// FaultAnswerLate delays the answers to the step's calls beyond their deadline.
 	FaultAnswerLate Fault = "AnswerLate"
@@ -54,7 +54,7 @@
 	faultDuration  = 5 * time.Second
 	freezeDuration = time.Minute
 	lapseDuration  = 15 * time.Second
-	// slowFactor multiplies the processing time.
+	// slowFactor multiplies the upstreams' processing time.
 	slowFactor = 10
 	// answerDelay is longer than the timeout of a control call.
 	answerDelay = 700 * time.Millisecond
@@ -82,13 +82,13 @@
 		sim.scheduleFaultEnd(duration, func() { set(false) })
 	}
 	sim.recordConnected()
-	sim.setBusy()
-	sim.extendFaults(max(duration, pause))
+	sim.extendFullRate()
+	sim.updateFaultsEnd(max(duration, pause))
 	return pause
 }
 
-// faultSwitch returns the function that begins and ends a fault, or nil if the fault isn't switched on and
-// off.
+// faultSwitch returns a function that begins the fault (on) and ends it (off). It returns nil for FaultNone
+// and for the faults that pause a driver or affect answers.
 func (sim *Simulation) faultSwitch(f Fault, target core.UpstreamID, site string) func(on bool) {
 	switch f {
 	case FaultKill:
@@ -114,7 +114,6 @@
 	}
 }
 
-// randomUpstream returns a random upstream.
 func (sim *Simulation) randomUpstream() core.UpstreamID {
 	ids := sim.Group.IDs()
 	sim.mu.Lock()
@@ -155,7 +154,8 @@
 	sim.Store.SetDelay(delay)
 }
 
-// setAnswerFault applies the fault to answers to the calls that the step makes.
+// setAnswerFault applies the fault to the next answers to the calls that the step makes. The store's answers
+// are lost even if the fault is to delay them.
 func (sim *Simulation) setAnswerFault(step elect.Step, f fakes.AnswerFault) {
 	switch step {
 	case elect.StepDrain, elect.StepPrepare:
--- a/matrix/gap.go
+++ b/matrix/gap.go
@@ -15,18 +15,18 @@
 
 var gapParts = []string{"Detection", "Delay", "Prepare", "Promote", "Confirm", "Total", "Writers"}
 
-// Add adds one change. writers is the longest time without a confirmed write.
-func (g *Gaps) Add(c elect.Change, writers time.Duration) {
+// Add adds one change. writeGap is the longest time without a confirmed write.
+func (g *Gaps) Add(c elect.Change, writeGap time.Duration) {
 	if g.parts == nil {
 		g.parts = make(map[string][]time.Duration)
 	}
-	values := []time.Duration{c.Detection, c.Delay, c.Prepare, c.Promote, c.Confirm, c.Total(), writers}
+	values := []time.Duration{c.Detection, c.Delay, c.Prepare, c.Promote, c.Confirm, c.Total(), writeGap}
 	for i, name := range gapParts {
 		g.parts[name] = append(g.parts[name], values[i])
 	}
 }
 
-// Quantile returns the quantile q, for example 0.99, of the part over all runs.
+// Quantile returns the quantile q, for example 0.99, of the part over all runs, or 0 if there are none.
 func (g *Gaps) Quantile(part string, q float64) time.Duration {
 	values := slices.Clone(g.parts[part])
 	if len(values) == 0 {
--- a/matrix/gap_test.go
+++ b/matrix/gap_test.go
@@ -13,9 +13,9 @@
 	"snipewall/core"
 )
 
-var gapRuns = flag.Uint64("matrix.runs", 25, "runs per failover gap")
+var gapRuns = flag.Uint64("matrix.runs", 25, "runs per case of TestFailoverGap")
 
-// Guards against a failover gap of 2 s, the target, or more at p99.
+// Guards against a failover gap that misses the target of less than 2 s at p99.
 func TestFailoverGap(t *testing.T) {
 	faults := map[string]func(sim *Simulation, id core.UpstreamID){
 		"Kill":    func(sim *Simulation, id core.UpstreamID) { sim.Group.Kill(id) },
@@ -36,18 +36,18 @@
 	}
 }
 
-func measureGaps(t *testing.T, delay time.Duration, down bool, fault func(*Simulation, core.UpstreamID)) *Gaps {
+func measureGaps(t *testing.T, delay time.Duration, platformDown bool, fault func(*Simulation, core.UpstreamID)) *Gaps {
 	gaps := &Gaps{}
 	for seed := range *gapRuns {
-		// The deadline is short since it adds up to its own length to the measured gap.
+		// A write that times out can lengthen the measured gap by the whole timeout, which is therefore short.
 		cfg := SimulationConfig{
-			Seed: seed, Delay: delay, Clients: 1, Every: 20 * time.Millisecond, WriteDeadline: 100 * time.Millisecond,
+			Seed: seed, Delay: delay, Clients: 1, Every: 20 * time.Millisecond, WriteTimeout: 100 * time.Millisecond,
 		}
 		synctest.Test(t, func(t *testing.T) {
 			sim := NewSimulation(cfg)
-			sim.Store.SetDown(down)
+			sim.Store.SetDown(platformDown)
 			time.Sleep(warmUpTime + time.Duration(rand.New(rand.NewPCG(seed, 3)).Int64N(int64(200*time.Millisecond))))
-			sim.setBusy()
+			sim.extendFullRate()
 			fault(sim, "u1")
 			time.Sleep(fullRateTime)
 			sim.Group.Heal()
@@ -92,6 +92,7 @@
 	}
 }
 
+// runHourOfFaults returns the number of changes of primary and the number of faults in a simulated hour.
 func runHourOfFaults(t *testing.T, delay time.Duration, fault func(*Simulation, core.UpstreamID, bool)) (int, int) {
 	var h History
 	faults := 0
--- a/matrix/history.go
+++ b/matrix/history.go
@@ -8,8 +8,8 @@
 	"snipewall/core/fakes"
 )
 
-// Op is an operation of a client. A write that isn't Done has an unknown outcome. Failed reads and writes
-// that certainly had no effect are not recorded.
+// Op is an operation of a client. A write that isn't Done has an unknown outcome. Failed reads are not
+// recorded, nor are writes that were refused before they had any effect.
 type Op struct {
 	Client int
 	Site   string
--- a/matrix/matrix_test.go
+++ b/matrix/matrix_test.go
@@ -13,8 +13,8 @@
 
 var seedFlag = flag.Uint64("matrix.seed", 1, "base seed of the matrix")
 
-// Guards against a fault, at any step of a change of primary, that loses an acknowledged write, makes an
-// old primary acknowledge one, makes a session read stale data or leaves the group without a primary.
+// Guards against these effects of a fault at any step of a change of primary: an acknowledged write is lost,
+// an old primary acknowledges a write, a session reads stale data, or the group is left without a primary.
 func TestMatrix(t *testing.T) {
 	var passed, failed atomic.Int64
 	var mu sync.Mutex
--- a/matrix/simulation.go
+++ b/matrix/simulation.go
@@ -15,7 +15,8 @@
 // fullRateTime is how long clients run at their full rate after a fault begins or ends.
 const fullRateTime = 4 * time.Second
 
-// Defects selects the defects of a simulation, so that tests can show that the checkers detect them.
+// Defects selects the defects of a simulation, so that tests can show that the checkers detect them. Each
+// defect disables one mechanism.
 type Defects struct {
 	// AckAtCommit acknowledges a write after the primary's commit, without Confirm.
 	AckAtCommit bool
@@ -40,25 +41,25 @@
 	Processing time.Duration
 	// Clients is the number of writers and of readers per entry VM.
 	Clients int
-	// Every is the mean time between a client's operations. More than fullRateTime after the last fault
-	// it is 5 times as long.
+	// Every is the mean time between a client's operations. It is 5 times as long when no fault began or
+	// ended in the last fullRateTime.
 	Every time.Duration
-	// WriteDeadline is the clients' timeout of a write. The default is 1 s.
-	WriteDeadline time.Duration
-	Defects       Defects
+	// WriteTimeout is the clients' timeout for a write. The default is 1 s.
+	WriteTimeout time.Duration
+	Defects      Defects
 	// Hook, if set, is called when a driver begins a step. It returns how long the driver must pause.
 	Hook func(sim *Simulation, site string, step elect.Step) time.Duration
 }
 
 // Simulation simulates a group with two entry VMs and their clients. It must be used in a synctest bubble.
 type Simulation struct {
-	Group *fakes.Group
-	Store *fakes.Store
-	cfg   SimulationConfig
-	vms   []*vm
-	ends  chan error
-	ctx   context.Context
-	stop  context.CancelFunc
+	Group     *fakes.Group
+	Store     *fakes.Store
+	cfg       SimulationConfig
+	vms       []*vm
+	runErrors chan error
+	ctx       context.Context
+	stop      context.CancelFunc
 
 	mu           sync.Mutex
 	random       *rand.Rand
@@ -71,8 +72,8 @@
 	// stopClients is closed to stop the clients after their current operations.
 	stopClients chan struct{}
 	clients     sync.WaitGroup
-	// faultsEndAt is when the last fault ends, busyUntil when the clients slow down.
-	faultsEndAt, busyUntil time.Time
+	// faultsEndAt is when the last fault ends, fullRateUntil when the clients slow down.
+	faultsEndAt, fullRateUntil time.Time
 }
 
 // vm is one entry VM.
@@ -90,14 +91,14 @@
 	if cfg.Processing == 0 {
 		cfg.Processing = time.Millisecond
 	}
-	if cfg.WriteDeadline == 0 {
-		cfg.WriteDeadline = time.Second
+	if cfg.WriteTimeout == 0 {
+		cfg.WriteTimeout = time.Second
 	}
 	sim := &Simulation{
 		cfg:         cfg,
 		Store:       fakes.NewStore(),
 		random:      rand.New(rand.NewPCG(cfg.Seed, 1)),
-		ends:        make(chan error, 256),
+		runErrors:   make(chan error, 256),
 		stopClients: make(chan struct{}),
 		Group: fakes.NewGroup(fakes.GroupConfig{
 			Group: "g", Size: cfg.Size, Delay: cfg.Delay, Lag: cfg.Lag,
@@ -163,21 +164,21 @@
 	sim.pending.Add(1)
 	go func() {
 		defer sim.pending.Done()
-		sim.ends <- f(ctx)
+		sim.runErrors <- f(ctx)
 	}()
 }
 
-// scheduleFaultEnd calls f, which ends a fault, after d.
+// scheduleFaultEnd calls f, which ends a fault, after d, unless the synctest bubble ends first.
 func (sim *Simulation) scheduleFaultEnd(d time.Duration, f func()) {
 	time.AfterFunc(d, func() {
 		f()
 		sim.recordConnected()
-		sim.setBusy()
+		sim.extendFullRate()
 	})
 }
 
-// extendFaults makes WaitForFaults wait until d from now, when a fault ends.
-func (sim *Simulation) extendFaults(d time.Duration) {
+// updateFaultsEnd makes WaitForFaults wait for a fault that ends d from now.
+func (sim *Simulation) updateFaultsEnd(d time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if end := time.Now().Add(d); end.After(sim.faultsEndAt) {
@@ -185,11 +186,11 @@
 	}
 }
 
-// setBusy makes the clients run at their full rate for fullRateTime.
-func (sim *Simulation) setBusy() {
+// extendFullRate makes the clients run at their full rate until fullRateTime from now.
+func (sim *Simulation) extendFullRate() {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.busyUntil = time.Now().Add(fullRateTime)
+	sim.fullRateUntil = time.Now().Add(fullRateTime)
 }
 
 // WaitForFaults waits until all faults have ended.
@@ -218,7 +219,7 @@
 	return h
 }
 
-// Primary returns the primary of the highest term according to the upstreams themselves, or empty.
+// Primary returns the primary of the highest term according to the upstreams' own states, or empty.
 func (sim *Simulation) Primary() core.UpstreamID {
 	var primary core.UpstreamID
 	var term core.Term
--- a/matrix/timed_fault.go
+++ b/matrix/timed_fault.go
@@ -16,73 +16,75 @@
 	Fault Fault
 	// Target and Site are the indexes of the affected upstream and entry VM.
 	Target, Site int
-	// Duration is the duration of the fault, or of the driver's pause at its next step.
+	// Duration is the duration of the fault, or of the driver's pause at its next step. It has no effect on
+	// lost and late answers and lapsed leases.
 	Duration time.Duration
 	// Step determines the calls whose answers are lost or late.
 	Step elect.Step
 }
 
 // String returns a description for the output of a failed run.
-func (s TimedFault) String() string {
-	return fmt.Sprintf("+%s %s u%d vm%d %s %s", s.Wait, s.Fault, s.Target+1, s.Site, s.Duration, s.Step)
+func (f TimedFault) String() string {
+	return fmt.Sprintf("+%s %s u%d vm%d %s %s", f.Wait, f.Fault, f.Target+1, f.Site, f.Duration, f.Step)
 }
 
 // RunFaults injects the faults, which may overlap, waits until the group has had time to recover, and
 // returns the history. It must be called in a synctest bubble.
 func RunFaults(cfg SimulationConfig, faults []TimedFault) History {
-	p := &faultInjector{pauses: make(map[string]time.Duration)}
-	cfg.Hook = p.hook
+	injector := &faultInjector{pauses: make(map[string]time.Duration)}
+	cfg.Hook = injector.hook
 	sim := NewSimulation(cfg)
 	time.Sleep(warmUpTime)
-	for _, s := range faults {
-		time.Sleep(s.Wait)
-		p.inject(sim, s)
+	for _, f := range faults {
+		time.Sleep(f.Wait)
+		injector.inject(sim, f)
 	}
 	sim.WaitForFaults()
 	sim.Group.Heal()
 	sim.recordConnected()
-	sim.setBusy()
+	sim.extendFullRate()
 	time.Sleep(RecoveryLimit)
 	return sim.Close()
 }
 
-// faultInjector injects the faults of a run. pauses holds the pauses that begin with the next step of a
-// site's driver.
+// faultInjector injects the faults of a run. pauses maps a site to the pause of its driver at the next step.
 type faultInjector struct {
 	pauses map[string]time.Duration
 }
 
-func (p *faultInjector) hook(sim *Simulation, site string, _ elect.Step) time.Duration {
+func (fi *faultInjector) hook(sim *Simulation, site string, _ elect.Step) time.Duration {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	pause := p.pauses[site]
-	delete(p.pauses, site)
+	pause := fi.pauses[site]
+	delete(fi.pauses, site)
 	return pause
 }
 
-func (p *faultInjector) inject(sim *Simulation, s TimedFault) {
-	target := sim.Group.IDs()[s.Target]
-	site := sim.Sites()[s.Site]
-	sim.setBusy()
-	sim.extendFaults(s.Duration)
-	switch s.Fault {
+// inject begins the fault. In contrast to a Cell's faults, FaultNone marks the upstream as leaving and
+// FaultLeaseLapsed makes all leases expire immediately.
+func (fi *faultInjector) inject(sim *Simulation, f TimedFault) {
+	target := sim.Group.IDs()[f.Target]
+	site := sim.Sites()[f.Site]
+	sim.extendFullRate()
+	sim.updateFaultsEnd(f.Duration)
+	switch f.Fault {
 	case FaultNone:
-		sim.setLeaving(target, s.Duration)
+		sim.setLeaving(target, f.Duration)
 	case FaultPause:
 		sim.mu.Lock()
-		p.pauses[site] = s.Duration
+		fi.pauses[site] = f.Duration
 		sim.mu.Unlock()
 	case FaultLeaseLapsed:
 		sim.Store.ExpireLeases()
 	case FaultAnswerLost:
-		sim.setAnswerFault(s.Step, fakes.AnswerFault{Lost: true})
+		sim.setAnswerFault(f.Step, fakes.AnswerFault{Lost: true})
 	case FaultAnswerLate:
-		sim.setAnswerFault(s.Step, fakes.AnswerFault{Late: answerDelay})
+		sim.setAnswerFault(f.Step, fakes.AnswerFault{Late: answerDelay})
 	default:
-		set := sim.faultSwitch(s.Fault, target, site)
+		set := sim.faultSwitch(f.Fault, target, site)
 		set(true)
 		sim.recordConnected()
-		sim.scheduleFaultEnd(s.Duration, func() { set(false) })
+		sim.scheduleFaultEnd(f.Duration, func() { set(false) })
 	}
 }
 
--- a/matrix/timed_fault_test.go
+++ b/matrix/timed_fault_test.go
@@ -13,8 +13,8 @@
 
 var searchCount = flag.Int("matrix.strikes", 4, "parallel searches of 20 generated runs each")
 
-// Guards against violations of the guarantees by faults that overlap, repeat and begin at any time, while
-// the matrix injects them only at steps.
+// Guards against violations of the guarantees when faults overlap, repeat and begin at any time. TestMatrix
+// injects faults only when a step begins.
 func TestGeneratedFaults(t *testing.T) {
 	if f := flag.Lookup("rapid.checks"); f.Value.String() == f.DefValue {
 		if err := f.Value.Set("20"); err != nil {
@@ -28,7 +28,7 @@
 				size := rapid.SampledFrom([]int{3, 3, 5}).Draw(rt, "size")
 				cfg := newCellConfig(rapid.Uint64().Draw(rt, "seed"))
 				cfg.Size = size
-				faults := rapid.SliceOfN(genFault(size), 1, 8).Draw(rt, "strikes")
+				faults := rapid.SliceOfN(genFault(size), 1, 8).Draw(rt, "faults")
 				var h History
 				synctest.Test(t, func(*testing.T) { h = RunFaults(cfg, faults) })
 				if err := CheckAll(h); err != nil {
@@ -39,18 +39,18 @@
 	}
 }
 
-// genFault generates faults for a group of the size.
+// genFault generates faults for a group of the given size.
 func genFault(size int) *rapid.Generator[TimedFault] {
 	return rapid.Custom(func(t *rapid.T) TimedFault {
-		ms := func(name string, most int) time.Duration {
-			return time.Duration(rapid.IntRange(1, most).Draw(t, name)) * time.Millisecond
+		ms := func(name string, limit int) time.Duration {
+			return time.Duration(rapid.IntRange(1, limit).Draw(t, name)) * time.Millisecond
 		}
 		return TimedFault{
 			Wait:     ms("wait", 4000),
 			Fault:    rapid.SampledFrom(Faults()).Draw(t, "fault"),
 			Target:   rapid.IntRange(0, size-1).Draw(t, "target"),
 			Site:     rapid.IntRange(0, 1).Draw(t, "site"),
-			Duration: ms("lasts", 9000),
+			Duration: ms("duration", 9000),
 			Step:     rapid.SampledFrom(elect.Steps()).Draw(t, "step"),
 		}
 	})
