--- a/stand/dbsim/ast.go
+++ b/stand/dbsim/ast.go
@@ -134,7 +134,8 @@
 	Set struct{ Name, Value string }
 	// Show is SHOW.
 	Show struct{ Name string }
-	// Reset is RESET, DISCARD or DEALLOCATE, which do nothing.
+	// Reset is RESET, DISCARD or DEALLOCATE. Whatever its argument, it clears all settings; DISCARD and
+	// DEALLOCATE also drop all prepared statements.
 	Reset struct{ Command string }
 )
 
--- a/stand/dbsim/database.go
+++ b/stand/dbsim/database.go
@@ -12,12 +12,13 @@
 // tables that result from the applied entries of the log. It is safe for concurrent use.
 type Database struct {
 	mu sync.RWMutex
-	// tables is the state after the first entries of the log, as many as the field applied says.
+	// tables is the state after the applied entries of the log.
 	tables map[string]*table
 	// schema is incremented at each change of a table definition.
-	schema  uint64
-	log     []Entry
-	runs    []Run
+	schema uint64
+	log    []Entry
+	runs   []Run
+	// applied is the number of entries, from the start of the log, that are applied to tables.
 	applied int
 	// arrivalTimes holds the arrival time of each entry that a replica has not applied yet.
 	arrivalTimes []time.Time
--- a/stand/dbsim/eval.go
+++ b/stand/dbsim/eval.go
@@ -80,7 +80,7 @@
 func evalCall(e *Expr) (Value, error) {
 	switch e.Func {
 	case "pg_sleep":
-		// The session sleeps for sleepTime before it evaluates the statement.
+		// The session has slept for sleepTime, in its slot, before it evaluates the statement.
 		return Value{Type: TypeVoid}, nil
 	case "now":
 		return Text(time.Now().UTC().Format(time.RFC3339Nano)), nil
--- a/stand/dbsim/exec.go
+++ b/stand/dbsim/exec.go
@@ -155,6 +155,8 @@
 	return out.rows("INSERT 0 " + strconv.Itoa(len(kept))), nil
 }
 
+// dropDuplicates returns the rows whose keys are free. It returns an error at the first duplicate unless the
+// statement has ON CONFLICT DO NOTHING.
 func (tx *Tx) dropDuplicates(def *TableDef, s *Insert, rows []keyedRow) ([]keyedRow, error) {
 	kept := rows[:0]
 	seen := make(map[Value]bool, len(rows))
@@ -277,8 +279,8 @@
 	return out.rows("UPDATE " + strconv.Itoa(len(found))), nil
 }
 
-// lockNewKeys locks the new keys of rows whose primary key changes. It returns an error if a row has one of
-// them already.
+// lockNewKeys locks the new keys of rows whose primary key changes. It returns an error if one of
+// them is taken.
 func (tx *Tx) lockNewKeys(def *TableDef, found []keyedRow, changed [][]Value) error {
 	if def.Key < 0 {
 		return nil
--- a/stand/dbsim/fault.go
+++ b/stand/dbsim/fault.go
@@ -28,7 +28,7 @@
 	directionCount
 )
 
-// loss is what happens instead of sending a response that a fault drops: the connection is closed or goes
+// loss is whether a fault drops a response, and what the connection does instead: it is closed or goes
 // silent.
 type loss uint8
 
@@ -47,9 +47,11 @@
 	changed chan struct{}
 	cut     [linkClassCount][directionCount]bool
 	frozen  bool
-	lateBy  time.Duration
-	slow    float64
-	losses  map[string]loss
+	// lateBy is the delay of FaultLateAnswer.
+	lateBy time.Duration
+	// slow is the factor of FaultSlow.
+	slow   float64
+	losses map[string]loss
 	// silenced counts how often FaultSilent was set for each class. A link that was opened before the
 	// last time is silent.
 	silenced [linkClassCount]uint64
--- a/stand/dbsim/link.go
+++ b/stand/dbsim/link.go
@@ -27,14 +27,14 @@
 	return l
 }
 
-// classify sets the class.
+// classify sets the class. FaultSilent affects the link only if it is set for that class afterwards.
 func (l *link) classify(class linkClass) {
 	l.class.Store(uint32(class))
 	l.silencedAtStart.Store(l.srv.faults.silencedCount(class))
 }
 
-// admit classifies the link when the start-up has shown its class, and then blocks while incoming traffic
-// of the class is held back.
+// admit classifies the link by its StartupMessage or CancelRequest, and then blocks while incoming traffic of
+// the class is held back.
 func (l *link) admit(class linkClass) error {
 	l.classify(class)
 	return l.srv.faults.await(l.ctx, class, inward)
--- a/stand/dbsim/model_test.go
+++ b/stand/dbsim/model_test.go
@@ -114,7 +114,7 @@
 }
 
 // failover prepares a new term on the hosts and, if they are a majority, promotes the one with the
-// highest log position. If complete, it then makes the others follow it.
+// highest log position. If complete is set, it then makes the others follow it.
 func (h *history) failover(indexes []int, complete bool) {
 	h.term++
 	best := ""
--- a/stand/dbsim/replica.go
+++ b/stand/dbsim/replica.go
@@ -255,22 +255,22 @@
 // appendShipments appends queued shipments to the log once the ship lag has passed since their arrival. It
 // returns when the queue is closed, or when a shipment doesn't fit the log or the stream.
 func (s *Server) appendShipments(ctx context.Context, st stream, queue <-chan receivedShipment) {
-	for a := range queue {
+	for m := range queue {
 		if err := s.faults.awaitThaw(ctx); err != nil {
 			return
 		}
-		if !a.Start && len(a.Entries) == 0 {
+		if !m.Start && len(m.Entries) == 0 {
 			continue
 		}
 		ship, apply := s.faults.lag()
-		if err := sleep(ctx, ship-time.Since(a.at)); err != nil {
+		if err := sleep(ctx, ship-time.Since(m.at)); err != nil {
 			return
 		}
 		ok := false
-		if a.Start {
-			ok = s.db.startStream(st, a.Common)
+		if m.Start {
+			ok = s.db.startStream(st, m.Common)
 		} else {
-			ok = s.db.appendStream(st, a.First, a.Entries)
+			ok = s.db.appendStream(st, m.First, m.Entries)
 		}
 		if !ok {
 			return
--- a/stand/dbsim/session.go
+++ b/stand/dbsim/session.go
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// fail reports an error and ends or fails the transaction.
+// fail sends an error and rolls back the transaction. An explicit one stays open as failed.
 func (ss *session) fail(err error) {
 	var sqlErr *SQLError
 	if !errors.As(err, &sqlErr) {
--- a/stand/dbsim/session_test.go
+++ b/stand/dbsim/session_test.go
@@ -106,8 +106,8 @@
 		fault, value string
 		// blocked is whether the open connection doesn't respond for the duration of the fault.
 		blocked bool
-		// ends is whether the open connection responds after the fault.
-		ends bool
+		// recovers is whether the open connection responds again after the fault.
+		recovers bool
 	}{
 		{FaultCut, "callers@150ms", true, true},
 		{FaultCut, "callers:in@150ms", true, true},
@@ -129,7 +129,7 @@
 				short, cancel := context.WithTimeout(g.ctx, 2*time.Second)
 				defer cancel()
 				_, err = c.Exec(short, "SELECT 1")
-				assert.Equal(t, err == nil, tt.ends, "%v", err)
+				assert.Equal(t, err == nil, tt.recovers, "%v", err)
 				assert.Equal(t, time.Since(begin) >= pause, tt.blocked)
 				assert.NilError(t, srv.Fault(tt.fault, "off"))
 				fresh := g.connect("a")
--- a/stand/dbsim/table.go
+++ b/stand/dbsim/table.go
@@ -71,9 +71,9 @@
 // compact removes the stale entries of the insertion order.
 func (t *table) compact() {
 	live := t.order[:0]
-	for _, s := range t.order {
-		if r, ok := t.rows[s.key]; ok && r.seq == s.seq {
-			live = append(live, s)
+	for _, e := range t.order {
+		if r, ok := t.rows[e.key]; ok && r.seq == e.seq {
+			live = append(live, e)
 		}
 	}
 	t.order = live
@@ -81,9 +81,9 @@
 
 // scan calls f for each row in insertion order.
 func (t *table) scan(f func(key Value, values []Value)) {
-	for _, s := range t.order {
-		if r, ok := t.rows[s.key]; ok && r.seq == s.seq {
-			f(s.key, r.values)
+	for _, e := range t.order {
+		if r, ok := t.rows[e.key]; ok && r.seq == e.seq {
+			f(e.key, r.values)
 		}
 	}
 }
--- a/stand/dbsim/tx.go
+++ b/stand/dbsim/tx.go
@@ -8,7 +8,7 @@
 )
 
 // lockTimeout is how long a transaction waits for a lock before it fails with a deadlock error. The
-// simulator doesn't detect deadlocks in another way.
+// simulator has no other deadlock detection.
 const lockTimeout = 2 * time.Second
 
 // lockKey identifies a row or, with a NULL key, the definition of a table.
--- a/stand/dbsim/value.go
+++ b/stand/dbsim/value.go
@@ -10,7 +10,7 @@
 // Type is the type of a column, a parameter or a value.
 type Type uint8
 
-// Types that the engine supports. Other integer types are treated as TypeInt.
+// Types that the engine supports. All integer types are TypeInt, with 64 bits.
 const (
 	TypeNull Type = iota
 	TypeInt
@@ -135,7 +135,7 @@
 
 // encode encodes the value for a DataRow message, as nil for NULL. It appends the bytes to dst and returns
 // the extended dst and the part that holds the value.
-func (v Value) encode(dst []byte, binaryFormat bool) (rest, value []byte) {
+func (v Value) encode(dst []byte, binaryFormat bool) (extended, value []byte) {
 	if v.IsNull() {
 		return dst, nil
 	}
