--- a/stand/kvsim/client.go
+++ b/stand/kvsim/client.go
@@ -53,7 +53,7 @@
 	body   bytes.Buffer
 }
 
-func (a *localResponse) serve(h http.Handler, r *http.Request) (err error) {
+func (w *localResponse) serve(h http.Handler, r *http.Request) (err error) {
 	defer func() {
 		v := recover()
 		if v == nil {
@@ -64,10 +64,10 @@
 		}
 		err = errNoResponse
 	}()
-	h.ServeHTTP(a, r)
+	h.ServeHTTP(w, r)
 	return nil
 }
 
-func (a *localResponse) Header() http.Header         { return a.header }
-func (a *localResponse) Write(p []byte) (int, error) { return a.body.Write(p) }
-func (a *localResponse) WriteHeader(status int)      { a.status = status }
+func (w *localResponse) Header() http.Header         { return w.header }
+func (w *localResponse) Write(p []byte) (int, error) { return w.body.Write(p) }
+func (w *localResponse) WriteHeader(status int)      { w.status = status }
--- a/stand/kvsim/faults.go
+++ b/stand/kvsim/faults.go
@@ -17,11 +17,11 @@
 	// FaultLostAnswer drops the responses to the next writes after they took effect. Value: the number of
 	// responses to drop.
 	FaultLostAnswer = "lost"
-	// FaultStale answers reads with the state of that long ago, as a lagging server does. Value: a
+	// FaultStale makes reads return old data, as from a lagging server. Value: the age of the data, a
 	// duration up to 2 minutes.
 	FaultStale = "stale"
-	// FaultListLag answers reads of the VM list with its state of that long ago. Value: a duration up to
-	// 2 minutes.
+	// FaultListLag makes reads of the VM list return an old list. Value: the age of the list, a duration
+	// up to 2 minutes.
 	FaultListLag = "listlag"
 )
 
--- a/stand/kvsim/keys.go
+++ b/stand/kvsim/keys.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// pollTimer returns a timer that wakes a watch for changes that come with time alone: a stale read that
+// pollTimer returns a timer that wakes a watch for changes that occur without a call: a stale read that
 // reaches a newer version, or a session that expires. The function stops the timer.
 func (s *Server) pollTimer() (<-chan time.Time, func()) {
 	d := time.Duration(0)
--- a/stand/kvsim/kvsim.go
+++ b/stand/kvsim/kvsim.go
@@ -12,7 +12,7 @@
 //	DELETE /v1/kv/KEY[?cas=N]                delete the key
 //	PUT    /v1/session/create                body {"TTL": "10s", "Behavior": "delete"}
 //	PUT    /v1/session/renew/ID, /v1/session/destroy/ID
-//	GET    /v1/vms                           list of VMs, with its lag
+//	GET    /v1/vms                           list of VMs, which lags behind its changes
 //	PUT    /v1/vms/ID, DELETE /v1/vms/ID     change the list (body: core.VM as JSON)
 //	PUT    /v1/fault/NAME?value=V            switch a fault on, GET /v1/fault lists them
 //	DELETE /v1/fault/NAME                    switch a fault off
@@ -36,7 +36,7 @@
 	"snipewall/core"
 )
 
-// Defaults of Config.
+// Defaults and limits.
 const (
 	defaultMaxValueBytes = 1 << 20
 	defaultMaxWait       = 10 * time.Minute
