--- a/stand/memnet/conn.go
+++ b/stand/memnet/conn.go
@@ -20,7 +20,7 @@
 	arrivesAt time.Time
 }
 
-// stream is one direction of a connection. Its writer and its reader are the two hosts' ends.
+// stream is one direction of a connection. Its writer is the conn of one host, its reader that of the other.
 type stream struct {
 	n    *Network
 	link link
--- a/stand/memnet/network.go
+++ b/stand/memnet/network.go
@@ -143,8 +143,8 @@
 	return !n.cut[l], d, n.changed
 }
 
-// Listen opens a listener on HOST:PORT. The host needs no set-up. It fails with EADDRINUSE if the address
-// has a listener.
+// Listen opens a listener on HOST:PORT, with any host and port. It fails with EADDRINUSE if the address
+// already has a listener.
 func (n *Network) Listen(addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -196,7 +196,7 @@
 	return &net.OpError{Op: "dial", Net: "mem", Addr: address(addr), Err: err}
 }
 
-// awaitTransit waits for the delay of the link, and before that until the link is open.
+// awaitTransit waits until the link is open, and then for its delay.
 func (n *Network) awaitTransit(ctx context.Context, l link) error {
 	for {
 		open, delay, changed := n.linkState(l)
