--- a/stand/upstream.go
+++ b/stand/upstream.go
@@ -24,7 +24,7 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "address for the PostgreSQL protocol"},
 			&cli.StringFlag{Name: "admin", Usage: "address for HTTP: POST /fault, GET /status"},
-			&cli.StringFlag{Name: "follow", Usage: "start as a replica of the primary at this address, or of no primary if it is none"},
+			&cli.StringFlag{Name: "follow", Usage: "start as a replica of the primary at this address; none starts a replica without a primary"},
 			&cli.Uint64Flag{Name: "term", Value: 1, Usage: "first term"},
 			&cli.IntFlag{Name: "slots", Usage: "statements that execute at once, 0 for no limit"},
 			&cli.IntFlag{Name: "connections", Usage: "connection limit, 0 for none"},
