--- a/core/elect/assess.go
+++ b/core/elect/assess.go
@@ -115,13 +115,13 @@
 	return r.Known && r.Err == nil && now.Sub(r.At) <= d.cfg.Timing.FreshWithin
 }
 
-// isVetoed reports whether a replica has heard from its primary within HeardWithin.
+// isVetoed reports whether a replica has heard from its primary within LastContactWithin.
 func (d *Driver) isVetoed(now time.Time, reports []quorum.Report) bool {
 	return slices.ContainsFunc(reports, func(r quorum.Report) bool {
 		if !r.Known || r.Status.Role != core.RoleReplica || r.Status.Heard < 0 {
 			return false
 		}
-		return now.Sub(r.At)+r.Status.Heard < d.cfg.Timing.HeardWithin
+		return now.Sub(r.At)+r.Status.Heard < d.cfg.Timing.LastContactWithin
 	})
 }
 
--- a/core/elect/change.go
+++ b/core/elect/change.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// recheck repeats the assessment with statuses from polls that start now. Statuses from idle polls can
+// recheck repeats the assessment with statuses from polls that start now. Statuses from periodic polls can
 // be 100 ms old, and another driver completes a change in less time.
 func (d *Driver) recheck(ctx context.Context, a assessment) error {
 	start := time.Now()
--- a/core/elect/config.go
+++ b/core/elect/config.go
@@ -51,8 +51,8 @@
 	SilentAfter time.Duration
 	// RefusedAfter is how long the primary may refuse connections.
 	RefusedAfter time.Duration
-	// HeardWithin is how recently a replica must have heard from the primary to veto the change.
-	HeardWithin time.Duration
+	// LastContactWithin is how recently a replica must have heard from the primary to veto the change.
+	LastContactWithin time.Duration
 	// VetoTimeout is the duration of a failure after which a veto no longer counts.
 	VetoTimeout time.Duration
 	// NoPrimaryAfter is how long terms must stay unchanged without a primary. Another driver has this time
@@ -61,7 +61,7 @@
 	// HigherTermAfter is how long an upstream must have promised a term above the primary's.
 	HigherTermAfter time.Duration
 	// FreshWithin is the age up to which a status shows that the upstream can be reached. It is longer
-	// than the poll interval of a quiet group.
+	// than the poll interval of an idle group.
 	FreshWithin time.Duration
 	// Tick is the time between checks of a group that isn't healthy, IdleTick that of a healthy one.
 	Tick, IdleTick time.Duration
@@ -96,27 +96,27 @@
 // DefaultTiming returns the default durations.
 func DefaultTiming() Timing {
 	return Timing{
-		SilentAfter:      1200 * time.Millisecond,
-		RefusedAfter:     300 * time.Millisecond,
-		HeardWithin:      500 * time.Millisecond,
-		VetoTimeout:      5 * time.Second,
-		NoPrimaryAfter:   600 * time.Millisecond,
-		HigherTermAfter:  time.Second,
-		FreshWithin:      1500 * time.Millisecond,
-		Tick:             20 * time.Millisecond,
-		IdleTick:         250 * time.Millisecond,
-		CallTimeout:      500 * time.Millisecond,
-		StoreTimeout:     200 * time.Millisecond,
-		LeaseTTL:         10 * time.Second,
-		LeaseDelay:       time.Second,
-		MaxStagger:       200 * time.Millisecond,
-		CatchUp:          500 * time.Millisecond,
-		MaxSuccessorAge:  500 * time.Millisecond,
-		PauseLimit:       time.Second,
-		RetryMin:         100 * time.Millisecond,
-		RetryMax:         2 * time.Second,
-		RepairInterval:   time.Second,
-		HeartbeatTimeout: 2 * time.Second,
+		SilentAfter:       1200 * time.Millisecond,
+		RefusedAfter:      300 * time.Millisecond,
+		LastContactWithin: 500 * time.Millisecond,
+		VetoTimeout:       5 * time.Second,
+		NoPrimaryAfter:    600 * time.Millisecond,
+		HigherTermAfter:   time.Second,
+		FreshWithin:       1500 * time.Millisecond,
+		Tick:              20 * time.Millisecond,
+		IdleTick:          250 * time.Millisecond,
+		CallTimeout:       500 * time.Millisecond,
+		StoreTimeout:      200 * time.Millisecond,
+		LeaseTTL:          10 * time.Second,
+		LeaseDelay:        time.Second,
+		MaxStagger:        200 * time.Millisecond,
+		CatchUp:           500 * time.Millisecond,
+		MaxSuccessorAge:   500 * time.Millisecond,
+		PauseLimit:        time.Second,
+		RetryMin:          100 * time.Millisecond,
+		RetryMax:          2 * time.Second,
+		RepairInterval:    time.Second,
+		HeartbeatTimeout:  2 * time.Second,
 	}
 }
 
@@ -125,7 +125,7 @@
 	d := DefaultTiming()
 	pairs := []struct{ v, d *time.Duration }{
 		{&t.SilentAfter, &d.SilentAfter}, {&t.RefusedAfter, &d.RefusedAfter},
-		{&t.HeardWithin, &d.HeardWithin}, {&t.VetoTimeout, &d.VetoTimeout},
+		{&t.LastContactWithin, &d.LastContactWithin}, {&t.VetoTimeout, &d.VetoTimeout},
 		{&t.NoPrimaryAfter, &d.NoPrimaryAfter}, {&t.HigherTermAfter, &d.HigherTermAfter},
 		{&t.FreshWithin, &d.FreshWithin}, {&t.Tick, &d.Tick}, {&t.IdleTick, &d.IdleTick},
 		{&t.CallTimeout, &d.CallTimeout}, {&t.StoreTimeout, &d.StoreTimeout},
--- a/core/fresh/fresh.go
+++ b/core/fresh/fresh.go
@@ -1,7 +1,7 @@
 // Package fresh bounds the age of the data that a read sees.
 //
 // A Tracker keeps samples of the primary's log position. A sample states that a primary had this
-// position, and was proved to lead, after the instant at which it was asked. The position therefore
+// position, and was proved to lead, after the instant at which it was requested. The position therefore
 // covers every commit that was acknowledged before that instant, and a read that awaits the position
 // sees all of them, on whichever upstream it runs.
 //
@@ -11,9 +11,9 @@
 //
 // # Usage
 //
-//	asked := core.Now()
-//	ans := ask() // the primary proves its leadership
-//	t.Add(asked, ans.Position)
+//	requestedAt := core.Now()
+//	ans := queryPrimary() // the primary proves its leadership
+//	t.Add(requestedAt, ans.Position)
 //	...
 //	if p, ok := t.MinPosition(received.Add(-maxAge)); ok {
 //		// a read that awaits p is at most maxAge old
@@ -37,14 +37,14 @@
 )
 
 type sample struct {
-	asked    core.Instant
-	position core.Position
+	requestedAt core.Instant
+	position    core.Position
 }
 
 // Tracker holds the samples of one group. The zero value is empty. It is safe for concurrent use.
 type Tracker struct {
 	mu sync.Mutex
-	// samples is a ring buffer with n samples from first on, ordered by asked.
+	// samples is a ring buffer with n samples from first on, ordered by requestedAt.
 	samples [maxSamples]sample
 	first   int
 	n       int
@@ -52,9 +52,9 @@
 
 func (t *Tracker) at(i int) *sample { return &t.samples[(t.first+i)%maxSamples] }
 
-// Add records that a primary had p, and was proved to lead, after the instant asked. A sample that
+// Add records that a primary had p, and was proved to lead, after requestedAt. A sample that
 // isn't newer than the newest one is dropped, and so is a zero position.
-func (t *Tracker) Add(asked core.Instant, p core.Position) {
+func (t *Tracker) Add(requestedAt core.Instant, p core.Position) {
 	if p.IsZero() {
 		return
 	}
@@ -62,11 +62,11 @@
 	defer t.mu.Unlock()
 	if t.n > 0 {
 		last := t.at(t.n - 1)
-		if asked <= last.asked {
+		if requestedAt <= last.requestedAt {
 			return
 		}
-		if t.n > 1 && last.asked.Sub(t.at(t.n-2).asked) < minSampleInterval {
-			*last = sample{asked, p}
+		if t.n > 1 && last.requestedAt.Sub(t.at(t.n-2).requestedAt) < minSampleInterval {
+			*last = sample{requestedAt, p}
 			return
 		}
 	}
@@ -75,11 +75,11 @@
 		t.n--
 	}
 	t.n++
-	*t.at(t.n - 1) = sample{asked, p}
+	*t.at(t.n - 1) = sample{requestedAt, p}
 }
 
 // MinPosition returns the position that a read must await to see all commits that were acknowledged
-// before the instant. It is that of the oldest sample asked at or after the instant, which replicas
+// before the instant. It is that of the oldest sample requested at or after the instant, which replicas
 // are most likely to have. It returns false if there is none.
 func (t *Tracker) MinPosition(at core.Instant) (core.Position, bool) {
 	t.mu.Lock()
@@ -87,7 +87,7 @@
 	lo, hi := 0, t.n
 	for lo < hi {
 		mid := (lo + hi) / 2
-		if t.at(mid).asked < at {
+		if t.at(mid).requestedAt < at {
 			lo = mid + 1
 			continue
 		}
@@ -99,12 +99,12 @@
 	return t.at(lo).position, true
 }
 
-// Newest returns the instant at which the newest sample was asked, or false if there is none.
+// Newest returns the instant at which the newest sample was requested, or false if there is none.
 func (t *Tracker) Newest() (core.Instant, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.n == 0 {
 		return 0, false
 	}
-	return t.at(t.n - 1).asked, true
+	return t.at(t.n - 1).requestedAt, true
 }
--- a/core/fresh/fresh_test.go
+++ b/core/fresh/fresh_test.go
@@ -12,7 +12,7 @@
 
 func at(ms int) core.Instant { return core.Instant(time.Duration(ms) * time.Millisecond) }
 
-// Guards against using a sample that was asked before the instant.
+// Guards against using a sample that was requested before the instant.
 func TestMinPosition(t *testing.T) {
 	var tr Tracker
 	_, ok := tr.MinPosition(0)
@@ -32,21 +32,21 @@
 	assert.Assert(t, !ok, "a sample from before the instant proves nothing")
 }
 
-// Guards against using a sample that was asked before the instant when samples are close together, old,
+// Guards against using a sample that was requested before the instant when samples are close together, old,
 // out of order or more than the tracker keeps.
 func TestMinPositionWithRandomSamples(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tr Tracker
 		type added struct {
-			asked core.Instant
-			p     core.Position
+			requestedAt core.Instant
+			p           core.Position
 		}
 		var all []added
 		now := 1
 		for i := range rapid.IntRange(1, 600).Draw(t, "samples") {
 			now += rapid.IntRange(-5, 40).Draw(t, "step")
 			a := added{at(max(now, 1)), core.Position{Term: 1, Offset: core.Offset(i + 1)}}
-			tr.Add(a.asked, a.p)
+			tr.Add(a.requestedAt, a.p)
 			all = append(all, a)
 		}
 		from := at(rapid.IntRange(0, now+50).Draw(t, "from"))
@@ -56,7 +56,7 @@
 		}
 		for _, a := range all {
 			if a.p == p {
-				assert.Assert(t, a.asked >= from, "sample asked at %v for %v", a.asked, from)
+				assert.Assert(t, a.requestedAt >= from, "sample asked at %v for %v", a.requestedAt, from)
 			}
 		}
 	})
--- a/core/lead/driver_test.go
+++ b/core/lead/driver_test.go
@@ -278,7 +278,7 @@
 	})
 }
 
-// Guards against a leaving primary that is replaced only once it is gone.
+// Guards against a leaving primary that is replaced only after it has stopped.
 func TestReplaceLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeCluster()
@@ -318,7 +318,7 @@
 	}
 }
 
-// Guards against a failover of every group when all VMs come back at once and their new connections
+// Guards against a failover of every group when all VMs restart at once and their new connections
 // keep the upstreams busy: there were seven promotions within 1.6 s.
 func TestSlowFailoverAfterStart(t *testing.T) {
 	for _, back := range []bool{true, false} {
--- a/core/pool/config.go
+++ b/core/pool/config.go
@@ -24,7 +24,7 @@
 	MinIdle int
 	// Dial opens a connection.
 	Dial func(ctx context.Context) (T, error)
-	// Close closes a connection. Its error is ignored, since the connection is gone either way.
+	// Close closes a connection. Its error is ignored, since the connection is unusable either way.
 	Close func(v T) error
 	// Ping checks an idle connection. Nil disables the heartbeat.
 	Ping func(ctx context.Context, v T) error
--- a/core/proxy/choose.go
+++ b/core/proxy/choose.go
@@ -23,11 +23,11 @@
 	distance time.Duration
 	// wait is the expected time until the answer, without the round trip.
 	wait time.Duration
-	// lagging tells that the upstream recently reported that it lacks the position.
+	// lagging is set if the upstream recently reported that it lacks the position.
 	lagging bool
-	// skip tells that it reported so repeatedly and must not be tried.
+	// skip is set if it reported so repeatedly and must not be tried.
 	skip bool
-	// failing tells that its last statements got no answer.
+	// failing is set if its last statements got no answer.
 	failing bool
 }
 
--- a/core/proxy/cluster.go
+++ b/core/proxy/cluster.go
@@ -64,7 +64,7 @@
 }
 
 // isMonitor reports whether this VM probes the group's primary continuously. One VM in each failure
-// domain does, so that a domain that is cut off is noticed and the load doesn't grow with the number of
+// domain does, so that a domain that is cut off is detected and the load doesn't grow with the number of
 // VMs.
 func (p *Proxy) isMonitor(id core.GroupID) bool {
 	return place.IsElected("watch/"+string(id), p.cfg.Self, p.cfg.Members.Alive(), 1)
@@ -202,7 +202,7 @@
 // queryLeadership opens and rolls back a transaction on the connection, which proves whether the
 // upstream leads.
 func (n *node) queryLeadership(c *conn, deadline time.Time) (lead.ProbeResult, error) {
-	asked := n.p.cfg.Now()
+	requestedAt := n.p.cfg.Now()
 	if err := c.Send([]core.Command{{Op: core.OpBegin}, {Op: core.OpRollback}}); err != nil {
 		return lead.ProbeResult{}, err
 	}
@@ -216,7 +216,7 @@
 	n.notePosition(ans.Position)
 	switch ans.Fault {
 	case core.FaultNone:
-		n.noteLeads(asked, ans.Position)
+		n.noteLeads(requestedAt, ans.Position)
 		return lead.ProbeResult{Leads: true, Log: ans.Position}, nil
 	case core.FaultReadOnly:
 		n.noteDenied()
--- a/core/proxy/conn.go
+++ b/core/proxy/conn.go
@@ -13,7 +13,7 @@
 	owner core.VMID
 	// valueKey identifies the session values that are set on the connection, as Session.valueKey does.
 	valueKey string
-	// stateUnknown tells that the values or prepared statements on the connection may differ from those
+	// stateUnknown is set if the values or prepared statements on the connection may differ from those
 	// recorded here.
 	stateUnknown bool
 	prepared     map[string]bool
--- a/core/proxy/fake_test.go
+++ b/core/proxy/fake_test.go
@@ -71,27 +71,27 @@
 	canPipelineBegin bool
 }
 
-func (l *fakeConn) InitialPosition() core.Position {
-	l.s.mu.Lock()
-	defer l.s.mu.Unlock()
-	return l.s.log
+func (fc *fakeConn) InitialPosition() core.Position {
+	fc.s.mu.Lock()
+	defer fc.s.mu.Unlock()
+	return fc.s.log
 }
 
-func (l *fakeConn) IsIdle() bool           { return !l.closed && len(l.answers) == 0 }
-func (l *fakeConn) CanPipelineBegin() bool { return l.canPipelineBegin }
-func (l *fakeConn) Close() error           { l.closed = true; return nil }
+func (fc *fakeConn) IsIdle() bool           { return !fc.closed && len(fc.answers) == 0 }
+func (fc *fakeConn) CanPipelineBegin() bool { return fc.canPipelineBegin }
+func (fc *fakeConn) Close() error           { fc.closed = true; return nil }
 
-func (l *fakeConn) Send(cmds []core.Command) error {
+func (fc *fakeConn) Send(cmds []core.Command) error {
 	for _, c := range cmds {
-		l.answers = append(l.answers, l.run(c))
+		fc.answers = append(fc.answers, fc.run(c))
 	}
 	return nil
 }
 
-func (l *fakeConn) Receive(deadline time.Time) (core.Answer, error) {
-	l.s.mu.Lock()
-	silent, broken, service := l.s.silent, l.s.broken, l.s.serviceTime
-	l.s.mu.Unlock()
+func (fc *fakeConn) Receive(deadline time.Time) (core.Answer, error) {
+	fc.s.mu.Lock()
+	silent, broken, service := fc.s.silent, fc.s.broken, fc.s.serviceTime
+	fc.s.mu.Unlock()
 	if silent {
 		time.Sleep(time.Until(deadline))
 		return core.Answer{}, os.ErrDeadlineExceeded
@@ -99,7 +99,7 @@
 	if broken {
 		return core.Answer{}, errors.New("connection reset")
 	}
-	ans := l.answers[0]
+	ans := fc.answers[0]
 	if ans.Signed {
 		if left := time.Until(deadline); left < service {
 			time.Sleep(left)
@@ -107,78 +107,78 @@
 		}
 		time.Sleep(service)
 	}
-	l.answers = l.answers[1:]
+	fc.answers = fc.answers[1:]
 	return ans, nil
 }
 
-func (l *fakeConn) run(c core.Command) core.Answer {
-	l.s.mu.Lock()
-	defer l.s.mu.Unlock()
-	fault := l.execute(c)
-	if fault != core.FaultNone && c.Op != core.OpRollback && l.status == core.TxOpen && fault != core.FaultBusy {
-		l.status = core.TxFailed
+func (fc *fakeConn) run(c core.Command) core.Answer {
+	fc.s.mu.Lock()
+	defer fc.s.mu.Unlock()
+	fault := fc.execute(c)
+	if fault != core.FaultNone && c.Op != core.OpRollback && fc.status == core.TxOpen && fault != core.FaultBusy {
+		fc.status = core.TxFailed
 	}
-	ans := core.Answer{Fault: fault, Status: l.status, Position: l.s.log}
+	ans := core.Answer{Fault: fault, Status: fc.status, Position: fc.s.log}
 	if fault == core.FaultNone && (c.Op == core.OpForward || c.Op == core.OpExecute) {
 		ans.Signed = true
-		ans.Body = []byte("COMPLETE " + string(l.s.id) + "\r\n")
+		ans.Body = []byte("COMPLETE " + string(fc.s.id) + "\r\n")
 	}
 	return ans
 }
 
 // execute applies the command and returns its fault.
-func (l *fakeConn) execute(c core.Command) core.Fault {
+func (fc *fakeConn) execute(c core.Command) core.Fault {
 	switch c.Op {
 	case core.OpBegin, core.OpBeginRead:
-		if c.Op == core.OpBegin && !l.s.leads && !l.s.skipLeaderCheck {
+		if c.Op == core.OpBegin && !fc.s.leads && !fc.s.skipLeaderCheck {
 			return core.FaultReadOnly
 		}
-		if l.s.log.Less(c.Await) {
+		if fc.s.log.Less(c.Await) {
 			return core.FaultLagging
 		}
-		l.status = core.TxOpen
+		fc.status = core.TxOpen
 	case core.OpRollback:
-		l.status = core.TxIdle
+		fc.status = core.TxIdle
 	case core.OpReset:
-		l.values, l.prepared = map[string]string{}, map[string]string{}
+		fc.values, fc.prepared = map[string]string{}, map[string]string{}
 	case core.OpSet:
-		l.values[c.Name] = c.Text
+		fc.values[c.Name] = c.Text
 	case core.OpPrepare:
-		l.prepared[c.Name] = c.Text
+		fc.prepared[c.Name] = c.Text
 	default:
-		return l.executeStatement(c)
+		return fc.executeStatement(c)
 	}
 	return core.FaultNone
 }
 
-func (l *fakeConn) executeStatement(c core.Command) core.Fault {
-	if l.s.busy > 0 {
-		l.s.busy--
+func (fc *fakeConn) executeStatement(c core.Command) core.Fault {
+	if fc.s.busy > 0 {
+		fc.s.busy--
 		return core.FaultBusy
 	}
-	if l.s.log.Less(c.Await) {
-		l.s.lagged++
+	if fc.s.log.Less(c.Await) {
+		fc.s.lagged++
 		return core.FaultLagging
 	}
 	text := c.Text
 	write := len(text) > 5 && text[:5] == "WRITE"
 	if c.Op == core.OpExecute {
-		prepared, ok := l.prepared[c.Name]
+		prepared, ok := fc.prepared[c.Name]
 		if !ok {
 			return core.FaultUnprepared
 		}
 		text = prepared + " " + c.Text
 		write = c.Name[0] == 'w'
 	}
-	if write && !l.s.leads {
+	if write && !fc.s.leads {
 		return core.FaultReadOnly
 	}
-	l.s.ran = append(l.s.ran, run{Conn: l.n, Text: text, Values: fmt.Sprint(l.values), InTx: l.status == core.TxOpen, Log: l.s.log})
-	if write && l.status == core.TxIdle || text == "COMMIT" {
-		l.s.log.Offset++
+	fc.s.ran = append(fc.s.ran, run{Conn: fc.n, Text: text, Values: fmt.Sprint(fc.values), InTx: fc.status == core.TxOpen, Log: fc.s.log})
+	if write && fc.status == core.TxIdle || text == "COMMIT" {
+		fc.s.log.Offset++
 	}
 	if text == "COMMIT" {
-		l.status = core.TxIdle
+		fc.status = core.TxIdle
 	}
 	return core.FaultNone
 }
--- a/core/proxy/group.go
+++ b/core/proxy/group.go
@@ -60,9 +60,9 @@
 	return best
 }
 
-// recordProof records that the upstream proved its leadership after the instant asked and held p then.
-func (g *group) recordProof(id core.UpstreamID, asked core.Instant, p core.Position) {
-	g.fresh.Add(asked, p)
+// recordProof records that the upstream proved its leadership after requestedAt and held p then.
+func (g *group) recordProof(id core.UpstreamID, requestedAt core.Instant, p core.Position) {
+	g.fresh.Add(requestedAt, p)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.provedAt, g.provedBy = time.Now(), id
--- a/core/proxy/load_test.go
+++ b/core/proxy/load_test.go
@@ -136,7 +136,7 @@
 	}
 	u := topo.Upstream{UpstreamInfo: core.UpstreamInfo{ID: "u", FailureDomain: "here"}}
 	assert.Equal(t, len(planPath("vm-00", vms(6), u, 22).owners), 0)
-	// Three VMs were added, or the list still holds VMs that are gone.
+	// Three VMs were added, or the list still holds VMs that have stopped.
 	assert.Equal(t, len(planPath("vm-00", vms(9), u, 22).owners), 0)
 	owners := map[core.VMID]int{}
 	for _, vm := range vms(74) {
@@ -160,7 +160,7 @@
 	return out
 }
 
-// Guards against statements that wait for an owner which is paused or gone, and against a direct
+// Guards against statements that wait for an owner which is paused or unreachable, and against a direct
 // connection of each VM to the upstream in that case.
 func TestOwnerUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -176,20 +176,20 @@
 	})
 }
 
-// Guards against direct connections that stay in use after the owner is back.
+// Guards against direct connections that stay in use after the owner is reachable again.
 func TestReturnToReachableOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newHarness(t, manyVMs()...)
 		r.must(r.proxy.Open("own"), VerbWrite, "WRITE 1")
-		asked := 0
+		ownerDials := 0
 		r.owner = func(id core.UpstreamID) (core.LineConn, error) {
-			asked++
+			ownerDials++
 			return r.relayConn(id)
 		}
 		time.Sleep(suspectTTL)
 		direct := r.dials.Load()
 		r.must(r.proxy.Open("own"), VerbWrite, "WRITE 2")
-		assert.Equal(t, asked, 1)
+		assert.Equal(t, ownerDials, 1)
 		assert.Equal(t, r.dials.Load(), direct)
 	})
 }
@@ -224,10 +224,10 @@
 func TestRelayedStatementsAreNotForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newHarness(t, otherVMs()...)
-		asked := 0
+		ownerDials := 0
 		r.full.Store(true)
 		r.owner = func(id core.UpstreamID) (core.LineConn, error) {
-			asked++
+			ownerDials++
 			return r.relayConn(id)
 		}
 		relay, _, ok := r.proxy.OpenRelay(primaryID)
@@ -235,7 +235,7 @@
 		read := core.Command{Op: core.OpForward, ID: "q", Text: "READ 1", Kind: "strict"}
 		ans := relay.Execute(t.Context(), read, time.Now().Add(300*time.Millisecond))
 		assert.Equal(t, ans.Fault, core.FaultOverload)
-		assert.Equal(t, asked, 0)
+		assert.Equal(t, ownerDials, 0)
 		_, _, ok = r.proxy.OpenRelay(primaryID)
 		assert.Assert(t, !ok, "a VM without connections must not relay")
 	})
--- a/core/proxy/node.go
+++ b/core/proxy/node.go
@@ -59,7 +59,7 @@
 	laggedAt       time.Time
 	laggedPosition core.Position
 	lagCount       int
-	// denied tells that the upstream refused to act as primary, and proved that it acted as one,
+	// denied is set if the upstream refused to act as primary, and proved if it acted as one,
 	// whatever its entry in the store says. Only the later of the two is set.
 	denied, proved bool
 	// evidenceAt is when the upstream last proved its leadership or its entry began to claim it.
@@ -164,15 +164,15 @@
 	n.denied, n.proved = true, false
 }
 
-// noteLeads records that the upstream proved its leadership after the instant asked and held p then.
-func (n *node) noteLeads(asked core.Instant, p core.Position) {
+// noteLeads records that the upstream proved its leadership after requestedAt and held p then.
+func (n *node) noteLeads(requestedAt core.Instant, p core.Position) {
 	n.mu.Lock()
 	changed := !n.proved
 	n.denied, n.proved = false, true
 	n.evidenceAt = time.Now()
 	n.mu.Unlock()
 	n.notePosition(p)
-	n.group.recordProof(n.id(), asked, p)
+	n.group.recordProof(n.id(), requestedAt, p)
 	if changed {
 		n.p.notifyChanged()
 	}
--- a/core/proxy/path.go
+++ b/core/proxy/path.go
@@ -31,10 +31,10 @@
 	conns int
 }
 
-func (a path) isIndirect() bool { return len(a.owners) > 0 }
+func (p path) isIndirect() bool { return len(p.owners) > 0 }
 
-func (a path) equal(b path) bool {
-	return a.conns == b.conns && slices.EqualFunc(a.owners, b.owners, func(x, y core.VM) bool { return x.ID == y.ID && x.Relay == y.Relay })
+func (p path) equal(other path) bool {
+	return p.conns == other.conns && slices.EqualFunc(p.owners, other.owners, func(x, y core.VM) bool { return x.ID == y.ID && x.Relay == y.Relay })
 }
 
 // planPath decides how the VM reaches the upstream. While the connections suffice for all VMs, each one
--- a/core/proxy/relay.go
+++ b/core/proxy/relay.go
@@ -17,7 +17,7 @@
 	// prepared holds the prepared statements by their name on upstream connections.
 	prepared map[string]preparedStmt
 	held     *heldConn
-	// beginRefused tells that BEGIN was refused, so that nothing runs before ROLLBACK.
+	// beginRefused is set if BEGIN was refused, so that nothing runs before ROLLBACK.
 	beginRefused bool
 	body         []byte
 }
--- a/core/proxy/session.go
+++ b/core/proxy/session.go
@@ -41,7 +41,7 @@
 	Text string
 	// Name and Arg are the operands, as the verb defines them.
 	Name, Arg string
-	// Write tells that the prepared statement writes.
+	// Write is set if the prepared statement writes.
 	Write bool
 }
 
@@ -56,7 +56,7 @@
 	Body     []byte
 	Status   core.TxStatus
 	Position core.Position
-	// overloaded tells that the upstream's queue refused the statement because of load, so that a retry
+	// overloaded is set if the upstream's queue refused the statement because of load, so that a retry
 	// there is useless.
 	overloaded bool
 }
@@ -71,7 +71,7 @@
 	// valueKey encodes all values, for comparison with those of a connection.
 	valueKey string
 	prepared map[string]preparedStmt
-	// lastCommit is the position of the session's last commit; lastCommitUnknown tells that the
+	// lastCommit is the position of the session's last commit; lastCommitUnknown is set if the
 	// upstream didn't report it.
 	lastCommit        core.Position
 	lastCommitUnknown bool
--- a/core/proxy/session_test.go
+++ b/core/proxy/session_test.go
@@ -34,7 +34,7 @@
 }
 
 // Guards against reads that miss commits acknowledged before their maximum age: the awaited position
-// must come from a leader that was asked late enough.
+// must come from a leader that was queried late enough.
 func TestBoundedReadAwaitsSample(t *testing.T) {
 	inBubble(t, func(t *testing.T, r *harness) {
 		r.must(r.proxy.Open("strict"), VerbRead, "READ 1")
--- a/core/proxy/single.go
+++ b/core/proxy/single.go
@@ -58,7 +58,7 @@
 	if refused != nil {
 		return w.handleNotAdmitted(t, refused)
 	}
-	asked := s.sampleInstant(w, t)
+	requestedAt := s.sampleInstant(w, t)
 	c := h.handle.Value
 	cmds := c.setUpCommands(s, w.prepared)
 	if t.strict {
@@ -69,10 +69,10 @@
 		if err != nil || ans.Fault != core.FaultNone {
 			return s.handleSetUpFailure(h, ans, err)
 		}
-		t.node.noteLeads(asked, ans.Position)
+		t.node.noteLeads(requestedAt, ans.Position)
 		cmds = nil
 	}
-	return s.send(w, t, h, cmds, asked)
+	return s.send(w, t, h, cmds, requestedAt)
 }
 
 // handleNotAdmitted decides about a retry after an upstream's queue or pool refused the statement.
@@ -100,7 +100,7 @@
 }
 
 // send sends the set-up commands with the statement and handles the answers.
-func (s *Session) send(w *work, t target, h *heldConn, cmds []core.Command, asked core.Instant) (Reply, outcome) {
+func (s *Session) send(w *work, t target, h *heldConn, cmds []core.Command, requestedAt core.Instant) (Reply, outcome) {
 	c := h.handle.Value
 	before := len(cmds)
 	cmds = append(cmds, w.command(t.await))
@@ -123,14 +123,14 @@
 			return s.handleLostConn(w, h, "the connection's set-up failed")
 		}
 		if t.strict {
-			t.node.noteLeads(asked, ans.Position)
+			t.node.noteLeads(requestedAt, ans.Position)
 		}
 	}
 	ans, err := c.Receive(s.answerDeadline(w, t.node))
 	if err != nil {
 		return s.handleNoAnswer(w, h, t, err)
 	}
-	return s.handleAnswer(w, h, t, ans, asked, sent)
+	return s.handleAnswer(w, h, t, ans, requestedAt, sent)
 }
 
 // handleSetUpFailure handles a statement whose transaction wasn't opened. The statement has not run.
@@ -210,7 +210,7 @@
 	return reply, retryNow
 }
 
-func (s *Session) handleAnswer(w *work, h *heldConn, t target, ans core.Answer, asked core.Instant, sent time.Time) (Reply, outcome) {
+func (s *Session) handleAnswer(w *work, h *heldConn, t target, ans core.Answer, requestedAt core.Instant, sent time.Time) (Reply, outcome) {
 	n := t.node
 	now := time.Now()
 	reply := Reply{Fault: ans.Fault, Text: ans.Text, Position: ans.Position}
@@ -231,8 +231,8 @@
 	if ans.Fault == core.FaultNone {
 		if w.write {
 			s.noteCommit(ans.Position)
-			if asked != 0 {
-				n.noteLeads(asked, ans.Position)
+			if requestedAt != 0 {
+				n.noteLeads(requestedAt, ans.Position)
 			}
 		}
 		return reply, done
--- a/core/proxy/tx.go
+++ b/core/proxy/tx.go
@@ -122,7 +122,7 @@
 	if refused != nil {
 		return refused
 	}
-	asked := s.p.cfg.Now()
+	requestedAt := s.p.cfg.Now()
 	cmds := h.handle.Value.setUpCommands(s, nil)
 	if t.strict {
 		cmds = append(cmds, w.withQueueing(core.Command{Op: core.OpBegin}))
@@ -146,7 +146,7 @@
 		return &Reply{Fault: core.FaultBusy, Text: "the upstream refused the transaction: " + ans.Fault.String()}
 	}
 	if t.strict {
-		t.node.noteLeads(asked, ans.Position)
+		t.node.noteLeads(requestedAt, ans.Position)
 	}
 	s.tx.held = h
 	return nil
--- a/core/proxy/work.go
+++ b/core/proxy/work.go
@@ -51,8 +51,8 @@
 	// tried are the upstreams on which the statement failed.
 	tried []*node
 	tries int
-	// askedReadIndex tells that the primary was asked for its position.
-	askedReadIndex bool
+	// readIndexRequested is set if the primary was asked for its position.
+	readIndexRequested bool
 	// lastReply is the result of the last failed try.
 	lastReply Reply
 }
@@ -114,8 +114,8 @@
 		return target{node: primary, strict: !w.write}, primary != nil
 	}
 	await, ok := w.group.fresh.MinPosition(w.receivedAt.Add(-w.route.MaxAge))
-	if !ok && !w.askedReadIndex && primary != nil {
-		w.askedReadIndex = true
+	if !ok && !w.readIndexRequested && primary != nil {
+		w.readIndexRequested = true
 		await, ok = s.readIndex(ctx, primary)
 	}
 	if !ok || (s.lastCommitUnknown && w.route.Reads == topo.ReadYourWrites) {
@@ -214,7 +214,7 @@
 	node   *node
 	handle *pool.Handle[*conn]
 	slot   *queue.Slot
-	// opensTx tells that the queue counts an open transaction for it.
+	// opensTx is set if the queue counts an open transaction for it.
 	opensTx bool
 }
 
--- a/core/queue/item.go
+++ b/core/queue/item.go
@@ -11,9 +11,9 @@
 	Kind core.Kind
 	// Rank is used only for a kind that has no row in the table.
 	Rank core.Rank
-	// InTx tells that the request belongs to an open transaction.
+	// InTx is set if the request belongs to an open transaction.
 	InTx bool
-	// OpensTx tells that the request opens a transaction.
+	// OpensTx is set if the request opens a transaction.
 	OpensTx bool
 	// Deadline is when the answer is due; zero means no deadline.
 	Deadline time.Time
@@ -26,9 +26,9 @@
 	rank  core.Rank
 	// estimate is the service time that was charged at the start.
 	estimate time.Duration
-	// long tells that the item counts as a long statement while it runs.
+	// long is set if the item counts as a long statement while it runs.
 	long bool
-	// contested tells that work of another rank was waiting at the start.
+	// contested is set if work of another rank was waiting at the start.
 	contested bool
 	refusal   *Refusal
 	// ready is closed when the item is started or refused.
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -38,7 +38,7 @@
 // Waited returns the time that the request spent in the queue.
 func (s *Slot) Waited() time.Duration { return s.it.Waited() }
 
-// Release frees the slot. ran tells whether a statement ran to completion, so that its service time
+// Release frees the slot. ran reports whether a statement ran to completion, so that its service time
 // counts in the estimate. Later calls have no effect.
 func (s *Slot) Release(ran bool) {
 	s.once.Do(func() {
--- a/core/queue/scheduler.go
+++ b/core/queue/scheduler.go
@@ -34,7 +34,7 @@
 	Add(now time.Time, it *Item) *Refusal
 	// Next removes and returns the item that starts now, or returns nil if none may start.
 	Next(now time.Time) *Item
-	// Done ends an item that Next returned. ran tells whether its service time is valid.
+	// Done ends an item that Next returned. ran reports whether its service time is valid.
 	Done(now time.Time, it *Item, ran bool)
 	// Expire removes and returns the items that can no longer start in time.
 	Expire(now time.Time) []*Item
--- a/core/queue/shares.go
+++ b/core/queue/shares.go
@@ -45,7 +45,7 @@
 	// running long statements of other ranks.
 	urgentAt    time.Time
 	runningLong int
-	// holdLong tells that no more long statements may start.
+	// holdLong is set if no more long statements may start.
 	holdLong bool
 	// vtime is the virtual time of each rank, at which kinds that had no work join. It follows the
 	// virtual time of the served kind whenever no waiting kind of the rank is behind it.
--- a/core/quorum/bench_test.go
+++ b/core/quorum/bench_test.go
@@ -52,7 +52,7 @@
 
 // BenchmarkIdleGroups measures the heap and stack size and the CPU time of a monitored group without
 // waiting callers. The upstreams are fakes, so that the cost of sending polls isn't included. "Used"
-// groups are polled every PollInterval, "Quiet" ones every QuietInterval.
+// groups are polled every PollInterval, idle ("Quiet") ones every IdleInterval.
 func BenchmarkIdleGroups(b *testing.B) {
 	modes := []struct {
 		name  string
@@ -69,14 +69,14 @@
 	}
 }
 
-func measureIdle(b *testing.B, n int, quietAfter time.Duration) {
+func measureIdle(b *testing.B, n int, idleAfter time.Duration) {
 	const span = 3 * time.Second
 	before := memory()
 	ctx, cancel := context.WithCancel(context.Background())
 	ends := make(chan error, n)
 	for i := range n {
 		m := quorum.New(quorum.Config{
-			Group: core.GroupID(fmt.Sprintf("g%d", i)), Upstreams: newStaticGroup(i), QuietAfter: quietAfter,
+			Group: core.GroupID(fmt.Sprintf("g%d", i)), Upstreams: newStaticGroup(i), IdleAfter: idleAfter,
 		})
 		go func() { ends <- m.Run(ctx) }()
 	}
--- a/core/quorum/config.go
+++ b/core/quorum/config.go
@@ -9,8 +9,8 @@
 // Defaults of Config.
 const (
 	DefaultPollInterval   = 100 * time.Millisecond
-	DefaultQuietInterval  = time.Second
-	DefaultQuietAfter     = 10 * time.Second
+	DefaultIdleInterval   = time.Second
+	DefaultIdleAfter      = 10 * time.Second
 	DefaultDemandInterval = time.Millisecond
 	DefaultPollTimeout    = 500 * time.Millisecond
 	DefaultStatusTTL      = 1200 * time.Millisecond
@@ -22,9 +22,9 @@
 	Upstreams []core.Upstream
 	// PollInterval is the time between polls without waiting callers.
 	PollInterval time.Duration
-	// QuietInterval is the time between polls of a quiet group: all upstreams answer, and no method that
-	// serves requests was called for QuietAfter.
-	QuietInterval, QuietAfter time.Duration
+	// IdleInterval is the time between polls of an idle group: all upstreams answer, and no method that
+	// serves requests was called for IdleAfter.
+	IdleInterval, IdleAfter time.Duration
 	// DemandInterval is the shortest time between polls of one upstream with waiting callers.
 	DemandInterval time.Duration
 	// PollTimeout limits one poll. Two timeouts fit into the 1.2 s after which a failover starts, so
@@ -38,11 +38,11 @@
 	if cfg.PollInterval <= 0 {
 		cfg.PollInterval = DefaultPollInterval
 	}
-	if cfg.QuietInterval <= 0 {
-		cfg.QuietInterval = DefaultQuietInterval
+	if cfg.IdleInterval <= 0 {
+		cfg.IdleInterval = DefaultIdleInterval
 	}
-	if cfg.QuietAfter <= 0 {
-		cfg.QuietAfter = DefaultQuietAfter
+	if cfg.IdleAfter <= 0 {
+		cfg.IdleAfter = DefaultIdleAfter
 	}
 	if cfg.DemandInterval <= 0 {
 		cfg.DemandInterval = DefaultDemandInterval
--- a/core/quorum/monitor.go
+++ b/core/quorum/monitor.go
@@ -32,7 +32,7 @@
 	confirmed core.Position
 	samples   samples
 	waits     waitList
-	// lastUsedAt is when a request last used the group; interval is the current time between idle polls.
+	// lastUsedAt is when a request last used the group; interval is the current time between periodic polls.
 	lastUsedAt time.Time
 	interval   time.Duration
 	stopped    bool
@@ -121,7 +121,7 @@
 }
 
 // startPolls starts the polls that are due and returns their number and the time until the next one.
-// Polls that are almost due are started together with those that are due, so that idle polls stay
+// Polls that are almost due are started together with those that are due, so that periodic polls stay
 // aligned: a sample needs a majority of polls that start at the same time.
 func (m *Monitor) startPolls(ctx context.Context) (int, time.Duration) {
 	m.mu.Lock()
@@ -150,10 +150,10 @@
 	return started, next
 }
 
-// intervalLocked returns the time between idle polls. After a failed poll it is PollInterval again, so
-// that a quiet group doesn't take longer to fail over.
+// intervalLocked returns the time between periodic polls. After a failed poll it is PollInterval again,
+// so that an idle group doesn't take longer to fail over.
 func (m *Monitor) intervalLocked(now time.Time) time.Duration {
-	if now.Sub(m.lastUsedAt) < m.cfg.QuietAfter {
+	if now.Sub(m.lastUsedAt) < m.cfg.IdleAfter {
 		return m.cfg.PollInterval
 	}
 	for i := range m.members {
@@ -162,10 +162,10 @@
 			return m.cfg.PollInterval
 		}
 	}
-	return m.cfg.QuietInterval
+	return m.cfg.IdleInterval
 }
 
-// markUsedLocked notes that a request uses the group, and wakes Run if the group was quiet.
+// markUsedLocked notes that a request uses the group, and wakes Run if the group was idle.
 func (m *Monitor) markUsedLocked(now time.Time) {
 	m.lastUsedAt = now
 	if m.interval > m.cfg.PollInterval {
--- a/core/quorum/quorum_test.go
+++ b/core/quorum/quorum_test.go
@@ -42,7 +42,7 @@
 	return p
 }
 
-// Guards against a write that is confirmed before a majority holds it, or only with the next idle poll.
+// Guards against a write that is confirmed before a majority holds it, or only with the next periodic poll.
 func TestConfirmFollowsReplication(t *testing.T) {
 	run(t, fakes.GroupConfig{Lag: 40 * time.Millisecond}, func(ctx context.Context, g *fakes.Group, m *quorum.Monitor) {
 		p := write(t, g)
@@ -157,7 +157,7 @@
 	})
 }
 
-// Guards against frequent polls of groups that nobody uses, against a slow first request to such a group,
+// Guards against frequent polls of idle groups, against a slow first request to such a group,
 // and against counting its long poll interval as silence of the primary.
 func TestUnusedGroupIsPolledLess(t *testing.T) {
 	run(t, fakes.GroupConfig{}, func(ctx context.Context, g *fakes.Group, m *quorum.Monitor) {
@@ -169,8 +169,8 @@
 		busy := polls(5 * time.Second)
 		assert.Assert(t, busy >= 144 && busy <= 153, "%d polls", busy)
 		time.Sleep(10 * time.Second)
-		quiet := polls(10 * time.Second)
-		assert.Assert(t, quiet >= 27 && quiet <= 33, "%d polls", quiet)
+		idle := polls(10 * time.Second)
+		assert.Assert(t, idle >= 27 && idle <= 33, "%d polls", idle)
 		for _, r := range m.Reports() {
 			assert.Assert(t, time.Since(r.SilentSince) > time.Hour || time.Since(r.SilentSince) < 150*time.Millisecond)
 		}
--- a/core/quorum/view.go
+++ b/core/quorum/view.go
@@ -115,7 +115,7 @@
 	return reports
 }
 
-// silentSinceLocked returns Report.SilentSince. The time in which a quiet group wasn't polled doesn't
+// silentSinceLocked returns Report.SilentSince. The time in which an idle group wasn't polled doesn't
 // count.
 func (m *Monitor) silentSinceLocked(mb *member) time.Time {
 	if mb.unansweredSince.IsZero() || !mb.hasStatus {
--- a/core/stmt/classify.go
+++ b/core/stmt/classify.go
@@ -408,7 +408,7 @@
 	case strings.HasPrefix(name, Prefix):
 		c.local(Local{Action: ActionShow, Name: name})
 	case name == "transaction_read_only", name == "in_hot_standby":
-		// Drivers query these to find out whether the server accepts writes.
+		// Drivers query these to determine whether the server accepts writes.
 		c.info.Writes = true
 	}
 }
--- a/core/stmt/doc.go
+++ b/core/stmt/doc.go
@@ -1,5 +1,5 @@
 // Package stmt classifies SQL text with a lexer, without a parser and without knowledge of the schema.
-// The lexer recognizes comments, all forms of strings and quoted names; the classifier looks at words.
+// The lexer recognizes comments, all forms of strings and quoted names; the classifier examines words.
 //
 // The classification is conservative. A statement is a read only if it certainly changes nothing: a
 // query without a locking clause and without a data-modifying WITH, which calls only functions known to
--- a/core/table/cache_test.go
+++ b/core/table/cache_test.go
@@ -124,7 +124,7 @@
 	return value
 }
 
-// Guards against an entry VM that gets no table while the platform is down, or doesn't notice that the
+// Guards against an entry VM that gets no table while the platform is down, or doesn't detect that the
 // platform is up again.
 func TestCacheStartsDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -152,7 +152,7 @@
 }
 
 // Guards against a rate of store calls that grows with the number of entry VMs, and against a missed
-// change after the watching entry VMs have gone.
+// change after the watching entry VMs have stopped.
 func TestCacheWatchers(t *testing.T) {
 	for _, size := range []int{8, 64, 520} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
--- a/e2e/isolation_test.go
+++ b/e2e/isolation_test.go
@@ -11,7 +11,7 @@
 	"snipewall/core"
 )
 
-// Guards against acknowledgments by an isolated primary that has not noticed its replacement, and against
+// Guards against acknowledgments by an isolated primary that has not detected its replacement, and against
 // an old primary that does not rejoin as a replica after the partition.
 func TestIsolatedPrimary(t *testing.T) {
 	tests := []struct {
--- a/io/ctrl/client.go
+++ b/io/ctrl/client.go
@@ -79,7 +79,7 @@
 	return &Client{cfg: cfg, idle: list.New(), byAddress: make(map[string][]*list.Element)}
 }
 
-// Close closes the idle connections. Calls in progress go on, and close their connections afterwards.
+// Close closes the idle connections. Calls in progress continue, and close their connections afterwards.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/io/dbconn/cancel.go
+++ b/io/dbconn/cancel.go
@@ -25,7 +25,7 @@
 }
 
 // cancel asks the upstream to cancel the statement that runs on a connection which is about to be
-// closed. Closing the connection doesn't end the statement, which would go on occupying a slot.
+// closed. Closing the connection doesn't end the statement, which would continue to occupy a slot.
 func (u *Upstream) cancel(pc *pgconn.PgConn) {
 	select {
 	case u.cancels <- struct{}{}:
--- a/io/dbconn/config.go
+++ b/io/dbconn/config.go
@@ -122,6 +122,6 @@
 	return cc, nil
 }
 
-// keepAlive is the interval of TCP keep-alive probes, which detect idle connections whose other side is
-// gone.
+// keepAlive is the interval of TCP keep-alive probes, which detect idle connections whose other side
+// no longer answers.
 const keepAlive = 15 * time.Second
--- a/io/dbconn/fault_test.go
+++ b/io/dbconn/fault_test.go
@@ -165,7 +165,7 @@
 	})
 }
 
-// Guards against a statement that goes on occupying a slot after its request has timed out.
+// Guards against a statement that continues to occupy a slot after its request has timed out.
 func TestTimedOutStatementIsCanceled(t *testing.T) {
 	runSimulated(t, dbsim.Config{Slots: 1}, func(ctx context.Context, _ *memnet.Network, _ *dbsim.Server, up *Upstream) {
 		c, err := up.Dial(ctx)
--- a/io/dbconn/once.go
+++ b/io/dbconn/once.go
@@ -149,9 +149,9 @@
 }
 
 // Send implements core.ResponseWriter.
-func (k *errorCollector) Send(msg pgproto3.BackendMessage) error {
+func (c *errorCollector) Send(msg pgproto3.BackendMessage) error {
 	if e, ok := msg.(*pgproto3.ErrorResponse); ok {
-		k.last = copyError(e)
+		c.last = copyError(e)
 	}
 	return nil
 }
--- a/io/front/connection_test.go
+++ b/io/front/connection_test.go
@@ -108,7 +108,7 @@
 	assert.NilError(t, <-end)
 }
 
-// Guards against a transaction or request that goes on holding an upstream connection and its locks
+// Guards against a transaction or request that continues to hold an upstream connection and its locks
 // after the caller has disconnected.
 func TestCallerDisconnects(t *testing.T) {
 	srv := startServer(t)
@@ -265,7 +265,7 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}
 }
 
-// Guards against encrypted connections that fail on large requests or don't notice Drain, and against
+// Guards against encrypted connections that fail on large requests or don't react to Drain, and against
 // a server without TLS that doesn't refuse it.
 func TestTLS(t *testing.T) {
 	srv := startServer(t, func(c *Config) {
@@ -299,7 +299,7 @@
 	assert.NilError(t, conn.Close(t.Context()))
 }
 
-// Guards against connections that don't work, or don't notice Drain, after they were parked.
+// Guards against connections that don't work, or don't react to Drain, after they were parked.
 func TestParked(t *testing.T) {
 	srv := startServer(t, func(c *Config) { c.ParkDelay = 5 * time.Millisecond })
 	conn := srv.connect(t, "")
--- a/io/front/params.go
+++ b/io/front/params.go
@@ -43,7 +43,7 @@
 	"standard_conforming_strings": {reportedName: "standard_conforming_strings", value: "on", synonyms: []string{"true", "1", "yes"}},
 	// From PostgreSQL 12 on, all values above 0 give the same output.
 	"extra_float_digits": {value: "1", synonyms: []string{"2", "3"}},
-	// Drivers that look for a server that accepts writes can use every entry VM.
+	// Drivers that need a server that accepts writes can use every entry VM.
 	"in_hot_standby":                {reportedName: "in_hot_standby", value: "off"},
 	"bytea_output":                  {value: "hex"},
 	"client_min_messages":           {value: "notice"},
--- a/io/front/server.go
+++ b/io/front/server.go
@@ -283,7 +283,7 @@
 }
 
 // Drain stops the server gracefully: it closes the listener and idle connections, and makes the server
-// refuse new requests as not run. Requests and transactions in progress go on. Drain returns when all
+// refuse new requests as not run. Requests and transactions in progress continue. Drain returns when all
 // connections have ended, or the error of ctx. Run continues until its own context ends.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
--- a/io/front/watch.go
+++ b/io/front/watch.go
@@ -34,17 +34,17 @@
 // run waits until the caller sends more or disconnects. If it has disconnected, run cancels the request.
 func (w *watcher) run() {
 	defer close(w.done)
-	gone := false
+	disconnected := false
 	err := w.s.sys.Read(func(fd uintptr) bool {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		if errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR) {
 			return false
 		}
-		gone = n == 0 || err != nil
+		disconnected = n == 0 || err != nil
 		return true
 	})
-	if err == nil && gone {
+	if err == nil && disconnected {
 		w.cancel()
 	}
 }
--- a/io/hop/server.go
+++ b/io/hop/server.go
@@ -189,6 +189,6 @@
 	if err := p.conn.SetWriteDeadline(time.Now().Add(goodbyeTimeout)); err != nil {
 		return
 	}
-	// If the write fails, the peer notices when the connection is closed.
+	// If the write fails, the peer detects the shutdown when the connection is closed.
 	_ = p.out.Flush()
 }
--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -177,7 +177,7 @@
 	})
 }
 
-// Guards against a request that goes on running after its caller has canceled it, and against reuse
+// Guards against a request that continues to run after its caller has canceled it, and against reuse
 // of its connection.
 func TestRelayCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
