--- a/core/proxy/cluster.go
+++ b/core/proxy/cluster.go
@@ -129,8 +129,8 @@
 			}
 			answers++
 			startPeerProbe()
-			// An upstream that rejected the probe is alive. A probe that couldn't be sent tells nothing
-			// about it.
+			// An upstream that rejected the probe is alive. A probe that couldn't be sent says nothing
+			// about its state.
 			if failure == nil || errors.Is(r.err, lead.ErrProbeNotSent) || isProbeNotSent(failure) {
 				failure = r.err
 			}
--- a/core/quorum/quorum_test.go
+++ b/core/quorum/quorum_test.go
@@ -157,9 +157,9 @@
 	})
 }
 
-// Guards against frequent polls of idle groups, against a slow first request to such a group,
-// and against counting its long poll interval as silence of the primary.
-func TestUnusedGroupIsPolledLess(t *testing.T) {
+// Guards against frequent polls of idle groups, against a slow first request to such a group, and against
+// counting its long poll interval as silence of the primary.
+func TestIdleGroupIsPolledLess(t *testing.T) {
 	run(t, fakes.GroupConfig{}, func(ctx context.Context, g *fakes.Group, m *quorum.Monitor) {
 		polls := func(span time.Duration) uint64 {
 			before := m.Dump().(quorum.State).Polls
