--- a/core/elect/config.go
+++ b/core/elect/config.go
@@ -63,8 +63,8 @@
 	// FreshWithin is the age up to which a status shows that the upstream can be reached. It is longer
 	// than the poll interval of an idle group.
 	FreshWithin time.Duration
-	// Tick is the time between checks of a group that isn't healthy, IdleTick that of a healthy one.
-	Tick, IdleTick time.Duration
+	// Tick is the time between checks of a group that isn't healthy, HealthyTick that of a healthy one.
+	Tick, HealthyTick time.Duration
 	// CallTimeout limits one control call to an upstream.
 	CallTimeout time.Duration
 	// StoreTimeout limits acquiring the lease as a whole, and releasing it.
@@ -104,7 +104,7 @@
 		HigherTermAfter:   time.Second,
 		FreshWithin:       1500 * time.Millisecond,
 		Tick:              20 * time.Millisecond,
-		IdleTick:          250 * time.Millisecond,
+		HealthyTick:       250 * time.Millisecond,
 		CallTimeout:       500 * time.Millisecond,
 		StoreTimeout:      200 * time.Millisecond,
 		LeaseTTL:          10 * time.Second,
@@ -127,7 +127,7 @@
 		{&t.SilentAfter, &d.SilentAfter}, {&t.RefusedAfter, &d.RefusedAfter},
 		{&t.LastContactWithin, &d.LastContactWithin}, {&t.VetoTimeout, &d.VetoTimeout},
 		{&t.NoPrimaryAfter, &d.NoPrimaryAfter}, {&t.HigherTermAfter, &d.HigherTermAfter},
-		{&t.FreshWithin, &d.FreshWithin}, {&t.Tick, &d.Tick}, {&t.IdleTick, &d.IdleTick},
+		{&t.FreshWithin, &d.FreshWithin}, {&t.Tick, &d.Tick}, {&t.HealthyTick, &d.HealthyTick},
 		{&t.CallTimeout, &d.CallTimeout}, {&t.StoreTimeout, &d.StoreTimeout},
 		{&t.LeaseTTL, &d.LeaseTTL}, {&t.LeaseDelay, &d.LeaseDelay}, {&t.MaxStagger, &d.MaxStagger},
 		{&t.CatchUp, &d.CatchUp}, {&t.MaxSuccessorAge, &d.MaxSuccessorAge},
--- a/core/elect/driver.go
+++ b/core/elect/driver.go
@@ -96,7 +96,7 @@
 // detectPause restarts all waiting periods after this process was paused. The time in which it could not
 // receive the primary's answers must not count as a failure of the primary.
 func (d *Driver) detectPause(now time.Time) {
-	if now.Sub(d.lastCheckAt) > d.cfg.Timing.IdleTick+d.cfg.Timing.PauseLimit/2 {
+	if now.Sub(d.lastCheckAt) > d.cfg.Timing.HealthyTick+d.cfg.Timing.PauseLimit/2 {
 		d.watchingSince = now
 	}
 	d.lastCheckAt = now
@@ -112,7 +112,7 @@
 	if reports[a.primary].Err != nil {
 		return d.cfg.Timing.Tick
 	}
-	return d.cfg.Timing.IdleTick
+	return d.cfg.Timing.HealthyTick
 }
 
 func (d *Driver) setReason(r Reason) {
--- a/core/elect/pause_test.go
+++ b/core/elect/pause_test.go
@@ -42,7 +42,7 @@
 		for range 10 {
 			report(0)
 			d.detectPause(time.Now())
-			time.Sleep(d.cfg.Timing.IdleTick)
+			time.Sleep(d.cfg.Timing.HealthyTick)
 		}
 		time.Sleep(time.Minute)
 		report(time.Minute)
